--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoint.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoint.java
@@ -40,7 +40,7 @@
     this.index = index;
   }
 
-  /** Applies a listing by discovery, the first one or a later one. */
+  /** Applies the endpoint's latest description from discovery, which may be its first. */
   void update(ListedEndpoint endpoint, Clock clock) {
     latestListing = endpoint;
     state = endpoint.state();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -31,8 +31,8 @@
   public volatile long delayMillis;
 
   /**
-   * One of this number of accepted connections is relayed, and the others are reset at once; 0 to
-   * relay all.
+   * If this is n, the first accepted connection and every n-th after it are relayed, and the others
+   * are reset at once; 0 to relay all.
    */
   public volatile int relaysOneOf;
 
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -32,7 +32,10 @@
   /** A leader renews its lease after the lease duration divided by this. */
   private static final int RENEWAL_DIVISOR = 3;
 
-  /** The highest position that counts, which bounds the delay before an election. */
+  /**
+   * Higher positions in {@link CandidateOrder} count as this one, which bounds the delay before an
+   * election.
+   */
   private static final int MAX_POSITION = 4;
 
   /** The delay before an election is divided by this once the leader has stopped. */
@@ -118,8 +121,8 @@
   }
 
   /**
-   * Sets this process's place in {@link CandidateOrder}: a process with a lower place stands for
-   * election sooner.
+   * Sets this process's position in {@link CandidateOrder}: a process with a lower position stands
+   * for election sooner.
    */
   public void updatePosition(int newPosition) {
     position = Math.min(newPosition, MAX_POSITION);
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -7,8 +7,9 @@
 
 /**
  * The names of the voters, as operators configure them; they are never derived from the members
- * present. While one list replaces another, a quorum is a majority of each list, so that two
- * quorums of adjacent stages always have a voter in common.
+ * present. A change of the voters has three stages: the current list, both lists, and the next
+ * list. While both are configured, a quorum is a majority of each list, so that a quorum of one
+ * stage and a quorum of the following stage always have a voter in common.
  *
  * @param current the voters
  * @param next the voters that replace them; empty while no change is in progress
--- a/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
@@ -4,7 +4,7 @@
  * A member's shares of all resources, granted by one leader.
  *
  * @param member the index of the member that the grant is for
- * @param instanceId the start of the member that the grant is for
+ * @param instanceId identifies the start of the member that the grant is for
  * @param requestNumber the sequence number of the request that the grant answers; the time of the
  *     grant counts from when that request was made
  * @param term the leader's term; the member rejects a grant of a lower term than that of the last
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -20,7 +20,7 @@
    * A grant as handed over to the next leader; its durations are the remaining ones.
    *
    * @param member the index of the member
-   * @param instanceId the start of the member that the grant was for
+   * @param instanceId identifies the start of the member that the grant was for
    * @param sequenceNumber the sequence number of the member's last request
    * @param number the number of the grant
    * @param amounts the share of each resource
--- a/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
@@ -4,8 +4,8 @@
  * A member's request for shares, which also confirms the last grant that it has applied.
  *
  * @param member the index of the member
- * @param instanceId the start of the member that the request is from; a restarted member has no
- *     record of earlier grants
+ * @param instanceId identifies the start of the member that the request is from; a restarted member
+ *     has no record of earlier grants
  * @param sequenceNumber the number of this request, which grows within a start of the member
  * @param term the term of the last grant applied; 0 for none
  * @param grantNumber the number of that grant: that grant is in force, and all earlier ones are
--- a/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Clears all backoffs after a reload of the settings' files, so that each endpoint may be asked
-   * at once.
+   * Clears all backoffs after a reload of the certificate and credential files, so that each
+   * endpoint may be asked at once.
    */
   void resetBackoffs() {
     endpoints.forEach(RegistryEndpoint::resetBackoff);
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -132,8 +132,8 @@
   }
 
   /**
-   * Clears all backoffs after a reload of the settings' files, since keys or tokens may have
-   * changed: every endpoint may be asked at once. Open watches stay open.
+   * Clears all backoffs after a reload of the certificate and credential files, since keys or
+   * tokens may have changed: every endpoint may be asked at once. Open watches stay open.
    */
   public void settingsReloaded(long nowNanos) {
     endpoints.resetBackoffs();
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -36,8 +36,8 @@
   int cell;
 
   /**
-   * The endpoint's size in transfers at full rate if the configuration says that weights are sizes,
-   * else 1.
+   * The endpoint's size, as a number of transfers at full rate, if the configuration says that
+   * weights are sizes, else 1.
    */
   double weight;
 
--- a/routing/src/main/java/org/amberpath/routing/IdempotencyScope.java
+++ b/routing/src/main/java/org/amberpath/routing/IdempotencyScope.java
@@ -1,6 +1,9 @@
 package org.amberpath.routing;
 
-/** Which endpoints share idempotency keys and therefore drop each other's repeats. */
+/**
+ * Which endpoints share idempotency keys, so that each of them discards the repeat of a request
+ * that another of them has executed.
+ */
 public enum IdempotencyScope {
   /** All endpoints. */
   ALL,
--- a/routing/src/main/java/org/amberpath/routing/SoftTimeoutEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/SoftTimeoutEstimator.java
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Sets a request's soft timeout. If the duration follows from the size, the request's class
-   * records it.
+   * Sets a request's soft timeout. If the transfer time can be computed from the response's size,
+   * it is also recorded in the request's traffic class.
    *
    * @param kilobytes size of the response; 0 if it is unknown
    */
