--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -18,8 +18,8 @@
   private static final int MAX_ENDPOINTS = 64;
   private static final int MAX_IN_FLIGHT = 8;
   private static final int MAX_PER_TICK = 64;
-  private static final long MS = 1_000_000;
-  private static final long PAUSE_BETWEEN_PASSES_NANOS = 250 * MS;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long PAUSE_BETWEEN_PASSES_NANOS = 250 * NANOS_PER_MILLI;
 
   private final Map<String, Long> warmingUpUntilNanos = new TreeMap<>();
   private int inFlight;
--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -10,13 +10,13 @@
  * and the results.
  */
 final class EndpointHealthCheck {
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Pause between two checks of an endpoint that responds. */
-  private static final long RESPONSIVE_PAUSE_NANOS = 500 * MS;
+  private static final long RESPONSIVE_PAUSE_NANOS = 500 * NANOS_PER_MILLI;
 
   /** How long a response that another gateway received overrides the leader's unanswered checks. */
-  private static final long PEER_RESPONSE_VALIDITY_NANOS = 30_000 * MS;
+  private static final long PEER_RESPONSE_VALIDITY_NANOS = 30_000 * NANOS_PER_MILLI;
 
   /** Number of gateways that must suspect an endpoint before its silence is broadcast. */
   private static final int MIN_REQUESTERS = 2;
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
@@ -2,16 +2,16 @@
 
 /** The intervals of report requests and health checks, which depend on the number of gateways. */
 final class HealthCheckIntervals {
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** The minimum time between two report requests of one gateway. */
-  static final long MIN_REQUEST_INTERVAL_NANOS = 500 * MS;
+  static final long MIN_REQUEST_INTERVAL_NANOS = 500 * NANOS_PER_MILLI;
 
   /**
    * The pause after a check that was not sent, and the initial value of the pause that doubles with
    * each unanswered check.
    */
-  static final long INITIAL_PAUSE_NANOS = 125 * MS;
+  static final long INITIAL_PAUSE_NANOS = 125 * NANOS_PER_MILLI;
 
   /** The maximum rate at which the fleet sends report requests to a leader, for any fleet size. */
   private static final int MAX_REQUESTS_PER_SECOND = 200;
@@ -28,16 +28,18 @@
   private static final int CHECK_REDUCTION_FACTOR = 10;
 
   /** Bounds of {@link #maxPauseNanos}, which falls as the fleet grows. */
-  private static final long MAX_PAUSE_UPPER_BOUND_NANOS = 4000 * MS;
+  private static final long MAX_PAUSE_UPPER_BOUND_NANOS = 4000 * NANOS_PER_MILLI;
 
-  private static final long MAX_PAUSE_LOWER_BOUND_NANOS = 1000 * MS;
+  private static final long MAX_PAUSE_LOWER_BOUND_NANOS = 1000 * NANOS_PER_MILLI;
 
   private long requestIntervalNanos = MIN_REQUEST_INTERVAL_NANOS;
   private long maxPauseNanos = MAX_PAUSE_UPPER_BOUND_NANOS;
 
   void fleetSizeChanged(int gateways) {
     requestIntervalNanos =
-        Math.max(MIN_REQUEST_INTERVAL_NANOS, gateways * (1000 * MS / MAX_REQUESTS_PER_SECOND));
+        Math.max(
+            MIN_REQUEST_INTERVAL_NANOS,
+            gateways * (1000 * NANOS_PER_MILLI / MAX_REQUESTS_PER_SECOND));
     maxPauseNanos =
         Math.max(
             MAX_PAUSE_LOWER_BOUND_NANOS,
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
@@ -13,7 +13,7 @@
 final class HealthReportBroadcast {
   private static final int MAX_RECIPIENTS_PER_TICK = 20;
   private static final int INTERVAL_MILLIS = 4000;
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Round numbers wrap at this value; a round number only selects the endpoints of a broadcast. */
   private static final int MAX_ROUND = 64;
@@ -34,7 +34,7 @@
     if (pendingRecipients.isEmpty() && nowNanos >= nextBroadcastNanos) {
       pendingRecipients.addAll(present);
       round = (round + 1) % MAX_ROUND;
-      nextBroadcastNanos = nowNanos + INTERVAL_MILLIS * MS;
+      nextBroadcastNanos = nowNanos + INTERVAL_MILLIS * NANOS_PER_MILLI;
     }
     List<String> recipients = new ArrayList<>();
     while (!pendingRecipients.isEmpty() && recipients.size() < MAX_RECIPIENTS_PER_TICK) {
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
@@ -20,7 +20,7 @@
  * last report is stored; further suspects are checked by this gateway alone.
  */
 final class HealthReportRequester {
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** The number of candidates that are asked in turn while the leader is not known. */
   private static final int MAX_CANDIDATES = 3;
@@ -29,10 +29,10 @@
    * The minimum pause between a request and the next one, if a new suspect brings the next one
    * forward.
    */
-  private static final long NEW_SUSPECT_PAUSE_NANOS = 50 * MS;
+  private static final long NEW_SUSPECT_PAUSE_NANOS = 50 * NANOS_PER_MILLI;
 
   /** The longest assumed travel time of an unsolicited report. */
-  private static final long MAX_REPORT_DELAY_NANOS = 1000 * MS;
+  private static final long MAX_REPORT_DELAY_NANOS = 1000 * NANOS_PER_MILLI;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
 
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -19,7 +19,7 @@
   public static final String TASK = "sweep";
 
   private static final int MAX_DELETED = 31;
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** The maximum error of a wall clock in either direction. */
   private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
@@ -76,7 +76,8 @@
    */
   public List<RegistryEntry> expiredPurges(
       List<RegistryEntry> entries, long nowNanos, long wallMillis) {
-    long writtenBeforeMillis = wallMillis - retentionNanos / MS - 2 * MAX_CLOCK_STEP_MILLIS;
+    long writtenBeforeMillis =
+        wallMillis - retentionNanos / NANOS_PER_MILLI - 2 * MAX_CLOCK_STEP_MILLIS;
     Map<String, ObservedRevision> present = new HashMap<>();
     for (RegistryEntry entry : entries) {
       if (entry.value() instanceof RegistryRecord.Purge) {
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -36,7 +36,7 @@
    * Higher positions in {@link CandidateOrder} count as this one, which bounds the delay before an
    * election.
    */
-  private static final int MAX_POSITION = 4;
+  private static final int MAX_CANDIDATE_POSITION = 4;
 
   /** The delay before an election is divided by this once the leader has stopped. */
   private static final int HANDOVER_DELAY_DIVISOR = 4;
@@ -62,7 +62,7 @@
   private long nextAttemptNanos;
 
   private long wallClockMillis;
-  private int position;
+  private int candidatePosition;
 
   /**
    * Creates a process that follows, and stands for election unless it learns of a leader.
@@ -125,7 +125,7 @@
    * for election sooner.
    */
   public void updatePosition(int newPosition) {
-    position = Math.min(newPosition, MAX_POSITION);
+    candidatePosition = Math.min(newPosition, MAX_CANDIDATE_POSITION);
   }
 
   @Override
@@ -191,7 +191,7 @@
   }
 
   private long electionDelayNanos() {
-    return position * marginNanos + random.nextLong(marginNanos);
+    return candidatePosition * marginNanos + random.nextLong(marginNanos);
   }
 
   /**
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -8,7 +8,7 @@
 /** One task at this gateway: its leadership, and the runner that acts under it. */
 final class OwnedTask {
   private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
-  private static final long MS = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final TaskRunner runner;
   private final Leadership leadership;
@@ -67,7 +67,9 @@
             .put("state", leadership.state().name().toLowerCase(Locale.ROOT))
             .put("holds", leads)
             .put("term", leadership.term())
-            .put("left_ms", leads ? (leadership.leaseExpiresAtNanos() - nowNanos) / MS : 0);
+            .put(
+                "left_ms",
+                leads ? (leadership.leaseExpiresAtNanos() - nowNanos) / NANOS_PER_MILLI : 0);
     runner.addStatus(status);
     return status;
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -82,7 +82,7 @@
       for (MemberUpdate update : message.updates()) {
         pack(packer, update);
       }
-      return sign(packer.toByteArray(), keyring);
+      return appendSignature(packer.toByteArray(), keyring);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -98,7 +98,7 @@
           .packLong(message.sequenceNumber());
       pack(packer, message.sender());
       packer.packBinaryHeader(message.body().length).writePayload(message.body());
-      return sign(packer.toByteArray(), keyring);
+      return appendSignature(packer.toByteArray(), keyring);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -118,7 +118,7 @@
         .packString(update.reporter());
   }
 
-  private static byte[] sign(byte[] bytes, HmacKeyring keyring) {
+  private static byte[] appendSignature(byte[] bytes, HmacKeyring keyring) {
     byte[] signed = Arrays.copyOf(bytes, bytes.length + HmacKeyring.SIGNATURE_BYTES);
     System.arraycopy(keyring.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
     return signed;
--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -213,11 +213,13 @@
     for (int index = 0; index < side.length; index++) {
       side[index] = random.nextBoolean();
     }
-    setSidesBlocked(side, true);
-    scheduleAt(nowNanos + random.nextInt(12_000) * MS_NANOS, () -> setSidesBlocked(side, false));
+    setLinksBetweenSidesBlocked(side, true);
+    scheduleAt(
+        nowNanos + random.nextInt(12_000) * MS_NANOS,
+        () -> setLinksBetweenSidesBlocked(side, false));
   }
 
-  private void setSidesBlocked(boolean[] side, boolean blocked) {
+  private void setLinksBetweenSidesBlocked(boolean[] side, boolean blocked) {
     for (int from = 0; from < side.length; from++) {
       for (int to = 0; to < side.length; to++) {
         if (side[from] != side[to]) {
