--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -32,8 +32,11 @@
   /** A leader renews its lease after the lease duration divided by this. */
   private static final int RENEWAL_DIVISOR = 3;
 
-  /** The highest position that counts, which bounds the delay before an election. */
-  private static final int MAX_POSITION = 4;
+  /**
+   * Higher positions in {@link CandidateOrder} count as this one, which bounds the delay before an
+   * election.
+   */
+  private static final int MAX_CANDIDATE_POSITION = 4;
 
   /** The delay before an election is divided by this once the leader has stopped. */
   private static final int HANDOVER_DELAY_DIVISOR = 4;
@@ -59,7 +62,7 @@
   private long nextAttemptNanos;
 
   private long wallClockMillis;
-  private int position;
+  private int candidatePosition;
 
   /**
    * Creates a process that follows, and stands for election unless it learns of a leader.
@@ -118,11 +121,11 @@
   }
 
   /**
-   * Sets this process's place in {@link CandidateOrder}: a process with a lower place stands for
-   * election sooner.
+   * Sets this process's position in {@link CandidateOrder}: a process with a lower position stands
+   * for election sooner.
    */
   public void updatePosition(int newPosition) {
-    position = Math.min(newPosition, MAX_POSITION);
+    candidatePosition = Math.min(newPosition, MAX_CANDIDATE_POSITION);
   }
 
   @Override
@@ -188,7 +191,7 @@
   }
 
   private long electionDelayNanos() {
-    return position * marginNanos + random.nextLong(marginNanos);
+    return candidatePosition * marginNanos + random.nextLong(marginNanos);
   }
 
   /**
