--- a/lab/src/main/java/org/amberpath/lab/registry/ConsulResponder.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/ConsulResponder.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Answers Consul's API of keys and values: blocking reads and transactions. */
+/** Implements Consul's key-value API: blocking queries and transactions. */
 final class ConsulResponder {
   private static final String KV_PATH = "/v1/kv/";
   private static final int STATUS_OK = 200;
@@ -44,7 +44,7 @@
       sendMatching(request.response(), key, recurse);
       return;
     }
-    // Held back until something changes or the wait is over.
+    // A blocking query: answered when a change occurs or the wait time has passed.
     String wait = request.getParam("wait").replaceAll("\\D", "");
     long untilNanos = System.nanoTime() + Long.parseLong(wait) * NANOS_PER_MILLI;
     vertx.setPeriodic(
--- a/lab/src/main/java/org/amberpath/lab/registry/EndpointBehavior.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EndpointBehavior.java
@@ -1,19 +1,19 @@
 package org.amberpath.lab.registry;
 
-/** How an endpoint of a registry treats requests. */
+/** Fault mode of a registry endpoint: how the endpoint treats requests and connections. */
 public enum EndpointBehavior {
-  /** It answers. */
+  /** Answers requests. */
   ANSWERS,
 
-  /** It takes calls, and says nothing. */
+  /** Accepts requests and sends nothing. */
   SILENT,
 
-  /** It takes no connections. */
+  /** Refuses connections. */
   REFUSES,
 
-  /** It answers that it can't answer. */
+  /** Answers each request with an error that reports the registry as unavailable. */
   UNAVAILABLE,
 
-  /** It lets nobody in. */
+  /** Rejects the credentials of every client. */
   UNAUTHORISED
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/EtcdResponder.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdResponder.java
@@ -10,7 +10,7 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** Answers the JSON form of etcd's API: ranges, watches, transactions and leases. */
+/** Implements etcd's JSON gateway API: range reads, watches, transactions and leases. */
 final class EtcdResponder {
   private static final int STATUS_BAD_REQUEST = 400;
   private static final int CODE_OUT_OF_RANGE = 11;
--- a/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
@@ -4,9 +4,9 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** One watch of etcd's API: a stream of lines, each with events. */
+/** One watch stream of etcd's JSON API: a chunked response with one JSON object a line. */
 final class EtcdWatchStream {
-  /** Events of one line; more of one revision go in two. */
+  /** Events in the first line, a fragment; the remaining events follow in a second line. */
   private static final int MAX_EVENTS_IN_FIRST_LINE = 2;
 
   private final StandInRegistry registry;
@@ -29,7 +29,7 @@
     nextRevision = JsonResponses.number(createRequest, "start_revision");
   }
 
-  /** Sends the head and what there is, or that the revision is compacted. */
+  /** Confirms the watch and sends existing changes, or cancels it if its revision is compacted. */
   void open() {
     response.setChunked(true);
     writeLine(newResult().put("created", true));
@@ -47,12 +47,12 @@
     sendChanges();
   }
 
-  /** Leaves the stream amid a line. */
+  /** Writes an incomplete line. */
   void breakLine() {
     response.write("{\"result\":{\"header\":{\"clus");
   }
 
-  /** Ends the stream in good order. */
+  /** Ends the response properly. */
   void end() {
     response.end();
   }
@@ -65,7 +65,7 @@
     response.write(new JsonObject().put("result", result).encode() + "\n");
   }
 
-  /** Sends what is new. */
+  /** Sends the changes that this watch has not sent yet, if the endpoint sends on it now. */
   void sendChanges() {
     if (!endpoint.sendsTo(this)) {
       return;
--- a/lab/src/main/java/org/amberpath/lab/registry/JsonResponses.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/JsonResponses.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** What the JSON of both stand-in protocols has in common. */
+/** Helpers for the JSON requests and responses of both stand-in protocols. */
 final class JsonResponses {
   private static final int STATUS_NOT_FOUND = 404;
   private static final int CODE_NOT_FOUND = 5;
@@ -35,17 +35,17 @@
     return base64(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The bytes of a base64 field; none where the field is missing. */
+  /** Decodes a base64 field to bytes; an empty array if the field is missing. */
   static byte[] bytes(JsonObject from, String field) {
     return Base64.getDecoder().decode(from.getString(field, ""));
   }
 
-  /** The text of a base64 field; empty where the field is missing. */
+  /** Decodes a base64 field to text; an empty string if the field is missing. */
   static String text(JsonObject from, String field) {
     return new String(bytes(from, field), StandardCharsets.UTF_8);
   }
 
-  /** A 64-bit number, which etcd's JSON has as a string; 0 where the field is missing. */
+  /** Parses a 64-bit number, which etcd's JSON encodes as a string; 0 if the field is missing. */
   static long number(JsonObject from, String field) {
     return Long.parseLong(from.getString(field, "0"));
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/PendingCall.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/PendingCall.java
@@ -8,7 +8,7 @@
 import org.amberpath.registry.WatchEvent;
 import org.amberpath.registry.WatchSession.Header;
 
-/** A call of a virtual client that has not ended, and the watch that it may have opened. */
+/** A pending call of a virtual client, and the watch stream that the call may have opened. */
 final class PendingCall {
   private static final long RETRY_AFTER_NANOS = 50 * Simulation.NANOS_PER_MILLI;
   private static final int SPLIT_ONE_IN = 4;
@@ -42,7 +42,10 @@
     return endpoint;
   }
 
-  /** Runs a task at the endpoint, if it takes calls then. */
+  /**
+   * Runs a task at the endpoint after the one-way delay if the endpoint answers at that time; holds
+   * the task while the endpoint is silent, and otherwise fails the call.
+   */
   void atEndpoint(Runnable task) {
     endpoint.callMade();
     scheduler.scheduleAfter(
@@ -64,7 +67,11 @@
         });
   }
 
-  /** Runs a task at the client, in order, unless the call has ended by then. */
+  /**
+   * Runs a task at the client after the one-way delay, the endpoint's slowness and an extra delay.
+   * Tasks of one call run in the order in which they were sent; a task is dropped if the call has
+   * ended before its arrival.
+   */
   void atClient(long extraNanos, Runnable task) {
     lastArrivalNanos =
         Math.max(
@@ -89,7 +96,7 @@
     client.scheduleTick();
   }
 
-  /** The connection breaks: nothing more comes of this call but its failure. */
+  /** Breaks the connection: the call delivers nothing more and fails as BROKEN. */
   void breakConnection() {
     broken = true;
     fail(RegistryFailure.BROKEN, 0);
@@ -107,13 +114,13 @@
         });
   }
 
-  /** Ends the call; false if it had ended before. */
+  /** Ends the call; returns false if the call had already ended. */
   boolean complete() {
     endpoint.closed(this);
     return client.closed(callId, this);
   }
 
-  /** Ends the call with an answer: the revision that it asked for is compacted. */
+  /** Ends the call with the answer that the requested revision is compacted. */
   void answerCompacted() {
     atClient(
         0,
@@ -124,14 +131,14 @@
         });
   }
 
-  /** Watches from a revision on, and sends what there is. */
+  /** Starts watching at a revision, and sends the changes that already exist from it on. */
   void startWatch(long fromRevision) {
     nextRevision = fromRevision;
     watching = true;
     sendChanges();
   }
 
-  /** Ends a blocking read with all that there is, if it still waits. */
+  /** Ends a blocking read that still waits by sending all current entries. */
   void endBlockingRead() {
     if (watching) {
       watching = false;
@@ -139,7 +146,10 @@
     }
   }
 
-  /** Sends what a watch has not been sent yet, now and then in frames that split a revision. */
+  /**
+   * Sends the changes that the watch has not sent yet. Some batches are split into two frames,
+   * which may divide the changes of one revision, and empty frames are sent at random.
+   */
   void sendChanges() {
     if (!watching) {
       return;
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -13,7 +13,11 @@
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ListedEndpoint;
 
-/** Keeps the caches as a registry's view has listed them, and reports what no view may do. */
+/**
+ * Endpoint listener that records the caches that a registry view has listed, and reports
+ * violations: nested listings, a removal of a cache that is not listed, an unchanged cache that an
+ * incremental listing repeats, and a repeated purge.
+ */
 final class RecordedEndpointList implements EndpointListener {
   private final LongSupplier clock;
   private final Consumer<String> trace;
@@ -35,24 +39,24 @@
     this.violation = violation;
   }
 
-  /** One object may be purged more than once. */
+  /** Allows several purges of one object without a violation. */
   RecordedEndpointList allowRepeatedPurges() {
     repeatedPurgesAllowed = true;
     return this;
   }
 
-  /** Passes all on to another listener too. */
+  /** Forwards every event to another listener. */
   RecordedEndpointList forwardingTo(EndpointListener listener) {
     downstream = listener;
     return this;
   }
 
-  /** The caches as they are listed now; only for the thread of the view. */
+  /** The caches that are listed now, by id; only for the view's thread. */
   Map<String, RegistryRecord.Cache> caches() {
     return caches;
   }
 
-  /** The state of each cache; for any thread. */
+  /** The state of each listed cache, by id; callable from any thread. */
   synchronized Map<String, EndpointState> endpointStates() {
     Map<String, EndpointState> states = new TreeMap<>();
     caches.forEach((id, cache) -> states.put(id, cache.state()));
@@ -63,7 +67,7 @@
     return listingCount;
   }
 
-  /** Whether a list has begun since this was called last. */
+  /** Whether a listing has started since the previous call of this method. */
   boolean takeChanged() {
     boolean changedBefore = changedSinceTaken;
     changedSinceTaken = false;
@@ -75,7 +79,7 @@
         || allPurgedAtNanos >= sinceNanos;
   }
 
-  /** The registry has been restored: purges that it holds may come again. */
+  /** Resets duplicate detection after a restore: purges that the registry holds may be repeated. */
   void historyReplaced() {
     purgedInThisHistory.clear();
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryApplyDelay.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryApplyDelay.java
@@ -12,7 +12,9 @@
 import org.amberpath.registry.RegistryView;
 import org.amberpath.routing.EndpointState;
 
-/** How soon many clients apply changes of many caches, and what a client costs. */
+/**
+ * Measures the delay until clients apply a change, and the CPU time, memory and traffic of each.
+ */
 final class RegistryApplyDelay {
   private static final int BYTES_PER_KEY = 300;
   private static final int BYTES_PER_KILOBYTE = 1024;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryDisturbance.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryDisturbance.java
@@ -13,8 +13,8 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Changes a stand-in registry and has its endpoints fail, at random times from a seed. Only for the
- * testbed's event loop.
+ * Writes changes to a stand-in registry and injects faults into its endpoints, at random times
+ * derived from a seed. Must be used on the testbed's event loop only.
  */
 final class RegistryDisturbance {
   private static final int CHANGE_KINDS = 8;
@@ -57,19 +57,19 @@
     this.edgeCaches = edgeCaches;
   }
 
-  /** Changes and faults go on until it is stopped. */
+  /** Starts writing changes and injecting faults until {@link #stop} is called. */
   void start() {
     active = true;
     change();
     injectFault();
   }
 
-  /** No change or fault begins from now on. */
+  /** Starts no further change or fault; faults that are active stay until their timer ends. */
   void stop() {
     active = false;
   }
 
-  /** Ends all faults that have begun. */
+  /** Clears the lag and the fault mode of all endpoints. */
   void heal() {
     registry
         .endpoints()
@@ -110,7 +110,7 @@
     vertx.setTimer(random.nextLong(MIN_CHANGE_MILLIS, MAX_CHANGE_MILLIS), timer -> change());
   }
 
-  /** Half of the caches stay. */
+  /** Whether a cache may be drained or deleted: at least half of the caches must stay ready. */
   private boolean mayGo(String id) {
     return judge.drainedCount() + absentCaches.size() < edgeCaches / 2 && !judge.isDrained(id);
   }
@@ -203,8 +203,8 @@
   }
 
   /**
-   * All endpoints go, and come back with a registry of another id that holds what was backed up
-   * just before.
+   * Makes a backup, has all endpoints refuse connections, and restores the backup under another
+   * cluster id before the endpoints answer again.
    */
   private void restoreFromBackup() {
     restoring = true;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -10,10 +10,11 @@
 import org.amberpath.registry.runtime.RegistrySource;
 
 /**
- * A real gateway on sockets while its registry changes several hundred times a minute, compacts,
- * lags, falls silent and disconnects at random, from a seed. What the gateway has applied is held
- * against what the registry holds each time that it is quiet, and what caches and clients saw
- * against the rules.
+ * Fault-injection experiment: a real gateway on loopback sockets whose stand-in registry changes
+ * several hundred times a minute, compacts its history, lags, stops responding and drops
+ * connections, at random times derived from a seed. In each quiet period the endpoints that the
+ * gateway has applied are compared with the registry's contents; the requests that caches receive
+ * and the responses that clients receive are checked against the limits for drains and purges.
  */
 public final class RegistryExperiment {
   private static final int EDGE_CACHES = 8;
@@ -26,7 +27,7 @@
   private static final long LAST_FAULT_MILLIS = 1600;
   private static final long QUIET_PERIOD_MILLIS = 2500;
 
-  /** Code that has not been compiled yet is slow, which is no fault of what is tried. */
+  /** Load before judging starts, so that the JIT compiler's warm-up does not count as a fault. */
   private static final long WARM_UP_MILLIS = 2500;
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -45,7 +46,7 @@
     disturbance = new RegistryDisturbance(testbed, judge, EDGE_CACHES, seed);
   }
 
-  /** Runs for so many seconds, and until the registry is quiet. */
+  /** Runs fault periods for at least the given seconds; the last one ends with a quiet period. */
   public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind protocol)
       throws Exception {
     return new RegistryExperiment(seed).run(seconds, protocol);
@@ -88,7 +89,7 @@
     return result;
   }
 
-  /** Changes and faults for a while, then a quiet time, after which views must be equal. */
+  /** Runs one period of changes and faults, heals them, and compares views after a quiet period. */
   private void disturb() throws Exception {
     testbed.runOnLoop(disturbance::start);
     Thread.sleep(FAULT_PERIOD_MILLIS);
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
@@ -6,8 +6,9 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * What goes wrong in a run of the registry's model: broken connections, endpoints that are silent,
- * closed, unavailable, late, and a registry that is restored from a backup.
+ * Injects faults into a run of {@link RegistryModel}: broken connections, endpoints that are
+ * silent, refuse connections, are unavailable, reject credentials or are delayed, and a registry
+ * that is restored from a backup.
  */
 final class RegistryFaults {
   private static final List<EndpointBehavior> WHOLE_REGISTRY_FAULTS =
@@ -39,7 +40,7 @@
     random = simulation.random();
   }
 
-  /** Whether the registry is down, to be restored. */
+  /** Whether the registry is down and waits for its restore. */
   boolean isRestoring() {
     return restoring;
   }
@@ -95,7 +96,8 @@
   }
 
   /**
-   * The registry goes down, and comes back as it was some writes ago: under its id or another one.
+   * Makes a backup, takes the registry down up to 3 s later, and restores the backup, so that
+   * writes after the backup are lost. The restored registry has the same cluster id or a new one.
    */
   private void restoreFromBackup() {
     if (restoring
@@ -126,7 +128,7 @@
         });
   }
 
-  /** Ends all faults. */
+  /** Clears the faults of all endpoints. */
   void end() {
     registry.endpoints().forEach(VirtualEndpoint::heal);
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -12,12 +12,14 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Judges what a registry's view listed for a gateway, and what caches and clients saw. Nothing is
- * judged for a while after an event loop of this process has stalled, since that is no fault of the
- * gateway's. For the testbed's event loop, unless a method says otherwise.
+ * Checks the invariants of {@link RegistryExperiment}: the endpoints that the registry view has
+ * listed for the gateway, the requests that caches receive after a drain, and the responses that
+ * clients receive after a purge. Checks are suspended for 800 ms after an event loop of this
+ * process has stalled for more than 25 ms, because the gateway does not cause such a delay. Methods
+ * are called on the testbed's event loop unless their comment says otherwise.
  */
 final class RegistryJudge {
-  /** What is written now and then and can't be read. */
+  /** Id of the cache whose record is overwritten with unreadable bytes at random times. */
   static final String SPOILT_CACHE = "spoilt";
 
   static final long TICK_MILLIS = 5;
@@ -36,13 +38,14 @@
   private final RecordedEndpointList recordedList =
       new RecordedEndpointList(System::nanoTime, line -> {}, this::violation).allowRepeatedPurges();
 
-  /** Of each drained cache, when that was written; forgotten when it is ready again. */
+  /** The time at which each drained cache's record was written; removed when the cache is ready. */
   private final Map<String, Long> drainedAtNanos = new HashMap<>();
 
   private final Map<String, Long> purgedAtMillis = new HashMap<>();
 
   /**
-   * Late requests, each judged once: bounded by the drains of a run and the requests after each.
+   * Requests received after a drain that have been judged, so that each is judged once. Bounded by
+   * the drains of a run and the requests after each.
    */
   private final Set<String> judgedRequests = new HashSet<>();
 
@@ -55,31 +58,31 @@
     this.testbed = testbed;
   }
 
-  /** What was listed for the gateway. */
+  /** The endpoints that the registry view has listed for the gateway. */
   RecordedEndpointList recordedList() {
     return recordedList;
   }
 
-  /** For any thread. */
+  /** Records a violation; callable from any thread. */
   private synchronized void violation(String message) {
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add(message);
     }
   }
 
-  /** What was wrong, the first lines of it. */
+  /** The first violations, at most {@value #MAX_VIOLATIONS}; callable from any thread. */
   synchronized List<String> violations() {
     return List.copyOf(violations);
   }
 
-  /** Judges from a time on; what came before counts as no stall. */
+  /** Starts judging at a time; stalls before that time are ignored. */
   void start(long sinceNanos) {
     observedAtNanos = sinceNanos;
     stalledAtNanos = sinceNanos - UNJUDGED_AFTER_STALL_NANOS;
     testbed.vertx().setPeriodic(TICK_MILLIS, tick -> observe());
   }
 
-  /** A tick of the gateway's event loop was late; for that loop's thread. */
+  /** Records a late tick of the gateway's event loop; called on that loop's thread. */
   void gatewayLoopLate(long lateNanos) {
     if (lateNanos > STALL_NANOS) {
       stalledAtNanos = System.nanoTime();
@@ -110,7 +113,7 @@
     return worstDrainNanos / NANOS_PER_MILLI;
   }
 
-  /** For how long nothing was judged. */
+  /** Total time for which judging was suspended because of stalls. */
   long unjudgedNanos() {
     return unjudgedNanos;
   }
@@ -119,7 +122,10 @@
     return System.nanoTime() - stalledAtNanos > UNJUDGED_AFTER_STALL_NANOS;
   }
 
-  /** Whether the gateway must know what the registry holds. */
+  /**
+   * Whether the gateway must be up to date: judging is not suspended, and an endpoint has been
+   * healthy for long enough.
+   */
   private boolean mustKnow() {
     return isJudged()
         && testbed.registry().endpoints().stream()
@@ -127,9 +133,11 @@
   }
 
   /**
-   * Looks for requests that came to a drained cache too late, while the drain could be known. Each
-   * is judged when it is first seen: guards against one that is blamed seconds later, when an
-   * endpoint has been healthy for long again.
+   * Detects stalls of this event loop, and reports requests that a drained cache received too long
+   * after its drain although the gateway must have known of it. Each request is judged only when it
+   * is first observed. Guards against a false violation: a request that the gateway sent while all
+   * endpoints failed would otherwise be reported seconds later, once an endpoint has been healthy
+   * for long enough again.
    */
   private void observe() {
     long nowNanos = System.nanoTime();
@@ -154,7 +162,10 @@
     }
   }
 
-  /** Judges a copy from before a purge, for a request that was sent after the grace. */
+  /**
+   * Reports a response with a copy from before the object's purge if its request was sent more than
+   * {@value #MAX_PURGE_MILLIS} ms after the purge.
+   */
   void responseReceived(LoadGenerator.Response response) {
     Long purgedAt = purgedAtMillis.get(response.object());
     long sentAtMillis =
@@ -175,7 +186,8 @@
   }
 
   /**
-   * Holds what was listed for the gateway against the registry, which has been quiet for a while.
+   * Compares the endpoints listed for the gateway with the registry's contents. Called at the end
+   * of a quiet period.
    */
   void compareViews() {
     Map<String, EndpointState> registryStates = new HashMap<>();
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -13,15 +13,16 @@
 import org.amberpath.registry.RegistryView;
 
 /**
- * One run of the registry's pure half on a virtual clock: changes ({@link RegistryWorkload}) and
- * faults ({@link RegistryFaults}) in any order from a seed. After each step what the view has
- * listed is a state that the registry was in. Everything in it follows from the seed alone.
+ * One simulation run of the registry client's protocol logic on a virtual clock, with changes
+ * ({@link RegistryWorkload}) and faults ({@link RegistryFaults}) in random order. After each step
+ * that starts a listing, the invariant is checked that the caches that the view has listed are a
+ * state that the registry was in. The seed alone determines the run.
  */
 final class RegistryModel {
   static final long PURGE_RETENTION_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   static final long QUIET_PERIOD_NANOS = 5 * Simulation.NANOS_PER_SECOND;
 
-  /** How long an endpoint must have been healthy before the view is judged by it. */
+  /** Time that an endpoint must have been healthy before the view must be up to date. */
   static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * Simulation.NANOS_PER_MILLI;
 
   private static final long FAULT_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
@@ -31,7 +32,7 @@
   private static final int MAX_KEYS = 400;
   private static final int MAX_EXPECTED_STATES = 400;
 
-  /** What the caches were at a revision; a null value is a record that can't be read. */
+  /** The cache records at a revision, by id; a null value stands for an unreadable record. */
   private record ExpectedState(long revision, Map<String, RegistryRecord.Cache> caches) {}
 
   private final Simulation simulation;
@@ -92,17 +93,22 @@
     return recordedList;
   }
 
-  /** Whether the registry is down, to be restored from a backup. */
+  /** Whether the registry is down and waits for its restore from a backup. */
   boolean isRestoring() {
     return faults.isRestoring();
   }
 
-  /** Whether an endpoint has been healthy for so long that the view must be up to date. */
+  /** Whether an endpoint has been healthy for long enough that the view must be up to date. */
   boolean isJudged() {
     return registry.anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS);
   }
 
-  /** Runs it, and gives its figures. */
+  /**
+   * Runs the simulation.
+   *
+   * @return the figures of the run by name
+   * @throws InvariantViolation if an invariant fails, or the view is stale after the quiet period
+   */
   Map<String, Long> run() {
     recordExpectedState();
     workload.writeInitialCaches();
@@ -143,7 +149,9 @@
         .orElse(0);
   }
 
-  /** Keeps what the caches are now, to be held against what the view tells. */
+  /**
+   * Records the registry's current caches, with which {@code checkInvariants} compares the view.
+   */
   void recordExpectedState() {
     Map<String, RegistryRecord.Cache> caches = new TreeMap<>();
     registry
@@ -169,7 +177,8 @@
     }
     long revision = client.view().appliedRevision();
     for (int index = expectedStates.size() - 1; index >= 0; index--) {
-      // The last state at or under the revision, in this history or one before it.
+      // The last state at or below the applied revision, in the current history or in one that a
+      // restore has replaced.
       ExpectedState expected = expectedStates.get(index);
       if (expected.revision <= revision && isLastUpTo(revision, index) && matches(expected)) {
         return;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
@@ -2,9 +2,9 @@
 
 import org.amberpath.lab.simulation.SeededRuns;
 
-/** The registry's pure half on a virtual clock. */
+/** Entry point to {@link RegistryModel} for runs of many seeds. */
 public final class RegistryModelExperiment {
-  /** One run from a seed. */
+  /** Runs the simulation once for a seed. */
   public static final SeededRuns.Model MODEL =
       (seed, trace) -> new RegistryModel(seed, trace).run();
 
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryReturnLoad.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryReturnLoad.java
@@ -11,8 +11,9 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Hundreds of clients lose all endpoints for some seconds: how many calls come to one endpoint in
- * the busiest tenth of a second of the return.
+ * Measures the reconnect load (thundering herd) after an outage: 500 clients lose all endpoints for
+ * 5 s. Reports the highest number of calls to one endpoint within 100 ms after the endpoints
+ * return, the same figure once the load is steady, and the time until all clients are current.
  */
 final class RegistryReturnLoad {
   private static final int CLIENTS = 500;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -10,8 +10,9 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * The registry's pure half at size on the virtual clock: the time to apply a change, the cost of a
- * client, and the calls of many clients after an outage.
+ * Scalability experiment for the registry client's protocol logic ({@code WatchSession} and {@code
+ * RegistryView}) on a virtual clock: the delay until clients apply a change, the cost of a client,
+ * and the load of many clients that reconnect after an outage.
  */
 public final class RegistrySizeExperiment {
   static final int ENDPOINT_COUNT = 3;
@@ -20,7 +21,7 @@
 
   private RegistrySizeExperiment() {}
 
-  /** Takes nothing but when a list is complete. */
+  /** Runs a callback when a list completes, and ignores all other events. */
   static final class CompletionListener implements EndpointListener {
     private final Runnable listCompleted;
 
@@ -43,7 +44,7 @@
     public void objectPurged(long object, int group, long atMillis) {}
   }
 
-  /** Writes one cache, with the tip. */
+  /** Writes one cache's record and the tip key in one transaction. */
   static void write(VirtualRegistry registry, int number, EndpointState state) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     String address = "127.0.0.1:" + (MIN_PORT + number % PORTS);
@@ -54,7 +55,13 @@
     registry.write(writes);
   }
 
-  /** So many caches, watched by so many clients, with so many changes a second. */
+  /**
+   * Runs both measurements and reports their figures and bars.
+   *
+   * @param cacheCount caches in the registry
+   * @param clientCount clients that watch the caches
+   * @param changesPerSecond cache records written a second of virtual time
+   */
   public static ExperimentReport run(
       long seed, int cacheCount, int clientCount, int changesPerSecond) {
     ExperimentReport result =
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
@@ -11,8 +11,8 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * What is written to the registry in a run of its model, and how soon the view must have passed on
- * drains and purges.
+ * Writes random changes to the registry in a run of {@link RegistryModel}, and checks that the view
+ * reports each drain within 250 ms and each purge within 300 ms while an endpoint is healthy.
  */
 final class RegistryWorkload {
   private static final long MAX_DRAIN_NANOS = 250 * Simulation.NANOS_PER_MILLI;
@@ -37,7 +37,7 @@
   private final SplittableRandom random;
   private final VirtualRegistry registry;
 
-  /** Purges that were over before the view had any list: nothing was served that they concern. */
+  /** Purges that ended before the view had any data: no stale copy could have been served. */
   private final Set<Long> purgesNotNeeded = new HashSet<>();
 
   private long purgeCount;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Makes one change, and schedules the next. */
+  /** Writes one change, and schedules the next. */
   void change() {
     if (!simulation.faultsActive()) {
       return;
@@ -90,7 +90,7 @@
       case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), touchesTip);
       case 6 -> write(id, null, touchesTip);
       case 7 -> {
-        // Gone, and another one under the same id at once.
+        // Deletes the cache, and registers another one under the same id immediately.
         write(id, null, touchesTip);
         write(id, cache(number, EndpointState.UP), touchesTip);
       }
@@ -173,7 +173,7 @@
 
   private void checkPurge(
       long object, long purgedAtNanos, RevisionedStore<RegistryRecord> history) {
-    // What a restored registry never held, nobody can hear of.
+    // A purge that the restored backup does not contain cannot reach the view.
     if (purgesNotNeeded.contains(object)
         || (history != registry.history()
             && !registry.history().current().containsKey(purgeKey(object)))
--- a/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -7,23 +7,23 @@
 import java.util.TreeMap;
 
 /**
- * What a key-value registry with revisions holds: every change in order, from which any state that
- * is not compacted can be had. One revision may change several keys.
+ * Multi-version key-value store: keeps every change in order of its revision, from which the state
+ * at any revision that is not compacted can be rebuilt. One revision may change several keys.
  *
- * @param <V> a key's value
+ * @param <V> type of the values
  */
 final class RevisionedStore<V> {
   /** A value with the revisions that created and last changed its key. */
   record VersionedValue<V>(V value, long createRevision, long modRevision) {}
 
-  /** A key that was written at a revision, or deleted where {@code versioned} is null. */
+  /** A write of a key at a revision, or its deletion if {@code versioned} is null. */
   record Change<V>(long revision, String key, VersionedValue<V> versioned) {}
 
   private final String clusterId;
   private final List<Change<V>> changes = new ArrayList<>();
   private final TreeMap<String, VersionedValue<V>> current = new TreeMap<>();
 
-  /** The state at the revision below which nothing is kept. */
+  /** The state at the compacted revision, from which later states are rebuilt. */
   private final TreeMap<String, VersionedValue<V>> compactedState = new TreeMap<>();
 
   private long revision = 1;
@@ -33,12 +33,12 @@
     this.clusterId = clusterId;
   }
 
-  /** The id of the cluster whose history this is. */
+  /** The id of the cluster to which this history belongs. */
   String clusterId() {
     return clusterId;
   }
 
-  /** A copy as of now under another cluster's id or its own: what a backup is. */
+  /** Copies the current state and history under the given cluster id, as a backup. */
   RevisionedStore<V> copyAs(String copyClusterId) {
     RevisionedStore<V> copy = new RevisionedStore<>(copyClusterId);
     copy.changes.addAll(changes);
@@ -54,19 +54,21 @@
     return revision;
   }
 
-  /** The revision below which nothing is kept. */
+  /** The compacted revision; states at lower revisions cannot be read. */
   long compactedRevision() {
     return compactedRevision;
   }
 
-  /** The keys as they are now; not to be changed. */
+  /** The current keys and values; a live map that callers must not modify. */
   Map<String, VersionedValue<V>> current() {
     return current;
   }
 
   /**
-   * Writes keys in one transaction; a null value deletes. A deletion of what is not there is no
-   * change.
+   * Writes keys in one transaction; a null value deletes its key. Deleting a key that does not
+   * exist is not a change.
+   *
+   * @return the last revision after the write
    */
   long write(Map<String, V> writes) {
     long nextRevision = revision + 1;
@@ -89,7 +91,7 @@
     return revision;
   }
 
-  /** Forgets all states below a revision. */
+  /** Compacts the history: discards all states at revisions lower than the given one. */
   void compact(long upTo) {
     int index = 0;
     for (; index < changes.size() && changes.get(index).revision <= upTo; index++) {
@@ -99,7 +101,7 @@
     compactedRevision = Math.max(compactedRevision, Math.min(upTo, revision));
   }
 
-  /** The state at a revision that is not compacted. */
+  /** Rebuilds the state at a revision that is not compacted. */
   NavigableMap<String, VersionedValue<V>> stateAt(long wantedRevision) {
     if (wantedRevision == revision) {
       return current;
@@ -114,7 +116,7 @@
     return state;
   }
 
-  /** Changes from a revision to another, both included. */
+  /** The changes between two revisions, both inclusive. */
   List<Change<V>> changesBetween(long fromRevision, long toRevision) {
     int low = 0;
     int high = changes.size();
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One endpoint of a {@link StandInRegistry}. Only for its event loop. */
+/** One endpoint of a {@link StandInRegistry}; must be used on the registry's event loop only. */
 public final class StandInEndpoint {
   private static final int STATUS_BAD_REQUEST = 400;
   private static final int STATUS_UNAUTHORIZED = 401;
@@ -30,8 +30,9 @@
   private HttpServer server;
 
   /**
-   * The close of the server before. Guards against a server that joins one on the same port that is
-   * still closing, accepts connections, and then has no event loop for them.
+   * Completes when the previous server has closed. Guards against starting a server while the
+   * previous one on the same port is still closing: the new server would share the closing one's
+   * socket, accept connections, and then have no event loop to handle them.
    */
   private Future<Void> closing = Future.succeededFuture();
 
@@ -47,12 +48,12 @@
     this.port = port;
   }
 
-  /** The port at which it listens, or did last. */
+  /** The port on which the endpoint listens, or listened last. */
   public int port() {
     return port;
   }
 
-  /** Whether it has answered without delay for so long. */
+  /** Whether the endpoint has answered without delay for at least the given time. */
   public boolean isHealthyFor(long durationNanos) {
     return behavior == EndpointBehavior.ANSWERS
         && lagMillis == 0
@@ -78,7 +79,7 @@
             });
   }
 
-  /** Changes how it treats requests. */
+  /** Sets the fault mode; modes other than ANSWERS and SILENT break open connections. */
   public void setBehavior(EndpointBehavior newBehavior) {
     EndpointBehavior before = behavior;
     behavior = newBehavior;
@@ -105,20 +106,20 @@
         });
   }
 
-  /** Makes changes and answers late by so much. */
+  /** Sets the delay of watch events and responses. */
   public void setLagMillis(long newLagMillis) {
     lagMillis = newLagMillis;
     healthySinceNanos = System.nanoTime();
   }
 
-  /** Breaks all connections; watches end amid a line. */
+  /** Closes all connections; open watch streams end with an incomplete line. */
   public void breakConnections() {
     List.copyOf(watches).forEach(EtcdWatchStream::breakLine);
     watches.clear();
     List.copyOf(connections).forEach(HttpConnection::close);
   }
 
-  /** Ends its side of all watches in good order; the connections stay open. */
+  /** Ends the response of each open watch properly; the connections stay open. */
   public void endWatches() {
     List<EtcdWatchStream> ended = List.copyOf(watches);
     watches.clear();
@@ -133,12 +134,12 @@
     watches.remove(watch);
   }
 
-  /** Whether changes go out on a watch now. */
+  /** Whether the endpoint sends changes on a watch now: it answers, and the watch is open. */
   boolean sendsTo(EtcdWatchStream watch) {
     return behavior == EndpointBehavior.ANSWERS && watches.contains(watch);
   }
 
-  /** Sends what is new on all watches. */
+  /** Sends the pending changes on all watches, after the lag. */
   void notifyWatchers() {
     List.copyOf(watches).forEach(watch -> afterLag(watch::sendChanges));
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInLeases.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInLeases.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Leases of a stand-in registry: the keys of one are deleted unless it is renewed. */
+/** Leases of a stand-in registry; an expired lease deletes the keys attached to it. */
 final class StandInLeases {
   private static final long MILLIS_PER_SECOND = 1000;
 
@@ -32,7 +32,7 @@
     this.registry = registry;
   }
 
-  /** Grants a lease for so many seconds, and gives its id. */
+  /** Grants a lease with a time to live in seconds, and returns its id. */
   long grant(long seconds) {
     long id = ++lastId;
     Lease lease = new Lease(seconds);
@@ -41,7 +41,7 @@
     return id;
   }
 
-  /** Renews a lease, and gives its seconds; nothing where there is none. */
+  /** Renews a lease, and returns its time to live in seconds; empty for an unknown lease. */
   OptionalLong renew(long id) {
     Lease lease = leases.get(id);
     if (lease == null) {
@@ -51,7 +51,7 @@
     return OptionalLong.of(lease.seconds);
   }
 
-  /** Has a key end with a lease, if there is one. */
+  /** Attaches a key to a lease; does nothing for an unknown lease. */
   void attach(long id, String key) {
     Lease lease = leases.get(id);
     if (lease != null) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Ends a lease, if there is one, and deletes its keys. */
+  /** Revokes a lease and deletes its keys; does nothing for an unknown lease. */
   void revoke(long id) {
     Lease lease = leases.remove(id);
     if (lease != null) {
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
@@ -9,11 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * A registry on loopback: several endpoints over one history, which speak the published protocols
- * of etcd and Consul, with the failures that they have in service. Runs on the event loop of a
- * Vert.x with one.
+ * A test registry on loopback: several endpoints that share one history, speak the published
+ * protocols of etcd and Consul, and can be made to fail as these registries fail in production.
+ * Runs on the event loop of a Vert.x instance that has only one.
  *
- * <p>Bounds: the history, until it is compacted, and the connections that its clients open.
+ * <p>Memory use has no fixed bound: the history grows until it is compacted, and each connection
+ * that a client opens is kept.
  */
 public final class StandInRegistry {
   private final Vertx vertx;
@@ -23,13 +24,13 @@
   private final ConsulResponder consul;
   private RevisionedStore<byte[]> history = new RevisionedStore<>("101");
 
-  /** The token that clients must show; empty for none. */
+  /** The token that requests must carry; empty if none is required. */
   private String requiredToken = "";
 
   /**
-   * A registry with no endpoints yet.
+   * Creates a registry without endpoints.
    *
-   * @param options of each endpoint's server, such as TLS
+   * @param options options for the HTTP server of each endpoint, such as TLS
    */
   public StandInRegistry(Vertx vertx, HttpServerOptions options) {
     this.vertx = vertx;
@@ -38,19 +39,19 @@
     consul = new ConsulResponder(vertx, this);
   }
 
-  /** Opens another endpoint, on a port from the system for 0. */
+  /** Opens another endpoint; port 0 has the operating system choose a port. */
   public Future<StandInEndpoint> open(int port) {
     StandInEndpoint endpoint = new StandInEndpoint(vertx, options, this, port);
     endpoints.add(endpoint);
     return endpoint.listen().map(endpoint);
   }
 
-  /** The endpoints in the order of their opening. */
+  /** The endpoints, in the order in which they were opened. */
   public List<StandInEndpoint> endpoints() {
     return endpoints;
   }
 
-  /** Lets only clients in that show this token; all for an empty one. */
+  /** Rejects requests that do not carry this token; an empty token admits all requests. */
   public void requireToken(String token) {
     requiredToken = token;
   }
@@ -60,7 +61,7 @@
     return history.revision();
   }
 
-  /** A copy of the keys as they are now. */
+  /** A copy of the current keys and values. */
   public Map<String, byte[]> entries() {
     Map<String, byte[]> entries = new TreeMap<>();
     history.current().forEach((key, versioned) -> entries.put(key, versioned.value()));
@@ -68,9 +69,9 @@
   }
 
   /**
-   * Writes keys in one transaction; a null value deletes.
+   * Writes keys in one transaction and notifies watchers; a null value deletes its key.
    *
-   * @return the last revision then
+   * @return the last revision after the write
    */
   public long write(Map<String, byte[]> writes) {
     long before = history.revision();
@@ -81,16 +82,16 @@
     return history.revision();
   }
 
-  /** Forgets all states before the last so many revisions. */
+  /** Compacts the history; the states at the given number of last revisions stay readable. */
   public void compact(long keptRevisions) {
     history.compact(history.revision() - keptRevisions);
   }
 
   /**
-   * Makes a backup as of now.
+   * Makes a backup of the current state and history.
    *
-   * @param clusterId the id under which it comes back; empty for the present one
-   * @return restores it
+   * @param clusterId the cluster id after the restore; empty to keep the current id
+   * @return a task that restores the backup
    */
   public Runnable backupAs(String clusterId) {
     RevisionedStore<byte[]> copy =
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -14,7 +14,7 @@
 import org.amberpath.registry.WatchSession.Header;
 import org.amberpath.registry.WatchSessionConfig;
 
-/** One gateway's watch session and view, over a virtual registry. */
+/** One gateway's {@link WatchSession} and {@link RegistryView}, connected to a virtual registry. */
 final class VirtualClient implements WatchCommands {
   private static final long BLOCKING_READ_NANOS = Simulation.NANOS_PER_SECOND;
 
@@ -72,7 +72,10 @@
     pendingCalls.values().forEach(PendingCall::sendChanges);
   }
 
-  /** Wakes the session when it wants to; a wake that it no longer wants does nothing. */
+  /**
+   * Schedules the session's next tick. A scheduled tick that an earlier one has superseded does
+   * nothing.
+   */
   void scheduleTick() {
     long dueNanos = session.nextTickNanos();
     if (dueNanos < nextWakeNanos) {
@@ -89,7 +92,7 @@
     }
   }
 
-  /** Ends a call with all entries as they are now. */
+  /** Completes a call with all current entries, delayed by the lag of its endpoint. */
   void answerAll(PendingCall call) {
     List<RegistryEntry> entries = registry.entries(registry.history().current(), "", 0);
     Header header = registry.header();
@@ -151,7 +154,8 @@
     List<RegistryEntry> page = hasMore ? found.subList(0, limit) : found;
     Header header = registry.header();
     registry.itemsSent(page.size());
-    // An endpoint that lags knows what a majority has only when it has caught up.
+    // Revision 0 reads the latest state that a majority holds: a lagging endpoint answers it only
+    // once it has caught up. A read at a given revision is answered without that delay.
     call.atClient(
         revision == 0 ? call.endpoint().lagNanos() : 0,
         () -> {
@@ -189,7 +193,7 @@
           }
         });
     if (registry.history().revision() < fromRevision - 1) {
-      // An index past what there is: the answer comes at once.
+      // The index is beyond the last revision: the blocking read returns immediately.
       call.endBlockingRead();
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
@@ -7,7 +7,7 @@
 import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.lab.simulation.VirtualScheduler;
 
-/** One endpoint of a registry on a virtual clock. */
+/** One endpoint of a {@link VirtualRegistry}. */
 final class VirtualEndpoint {
   private static final long UNAUTHORISED_RETRY_NANOS = 14 * Simulation.NANOS_PER_SECOND;
   private static final long NEVER = Long.MAX_VALUE / 2;
@@ -20,10 +20,10 @@
   private long lagNanos;
   private long slownessNanos;
 
-  /** Since when it has answered well. */
+  /** The time since which the endpoint has answered without delays; NEVER while it is delayed. */
   private long healthySinceNanos;
 
-  /** Until when clients that it did not let in may stay away. */
+  /** The time until which clients whose credentials were rejected may wait before they retry. */
   private long excusedUntilNanos;
 
   private long callCount;
@@ -38,17 +38,17 @@
     return behavior;
   }
 
-  /** By how much reads and changes are late. */
+  /** The delay of reads of the latest state and of watch events. */
   long lagNanos() {
     return lagNanos;
   }
 
-  /** By how much all answers are late. */
+  /** The delay of all responses, in addition to the lag. */
   long slownessNanos() {
     return slownessNanos;
   }
 
-  /** How many calls have been made to it. */
+  /** Number of calls that clients have made to this endpoint. */
   long callCount() {
     return callCount;
   }
@@ -65,7 +65,7 @@
     pendingCalls.remove(call);
   }
 
-  /** Keeps a task until it is no longer silent; a broken connection drops it. */
+  /** Holds a task until the endpoint answers again; a broken connection drops held tasks. */
   void hold(Runnable task) {
     heldTasks.add(task);
   }
@@ -74,10 +74,10 @@
     return registry.endpoints().indexOf(this);
   }
 
-  /** Changes how it treats calls. */
+  /** Sets the fault mode; modes other than ANSWERS and SILENT break all connections. */
   void setBehavior(EndpointBehavior newBehavior) {
     registry.trace(index() + " becomes " + newBehavior);
-    // A client that was not let in does not call again soon.
+    // A client whose credentials were rejected waits before it calls again.
     if (newBehavior == EndpointBehavior.UNAUTHORISED) {
       excusedUntilNanos = NEVER;
     } else if (behavior == EndpointBehavior.UNAUTHORISED) {
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Sets by how much it is late: reads and changes, and all answers. */
+  /** Sets the lag of reads and watch events, and the slowness of all responses. */
   void setDelays(long newLagNanos, long newSlownessNanos) {
     registry.trace(
         index()
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Ends all faults of this endpoint. */
+  /** Clears the delays and the fault mode of this endpoint. */
   void heal() {
     setDelays(0, 0);
     setBehavior(EndpointBehavior.ANSWERS);
@@ -124,7 +124,7 @@
         && healthySinceNanos <= scheduler.nowNanos() - durationNanos;
   }
 
-  /** Breaks all connections; new ones come up. */
+  /** Breaks all connections; clients can open new ones. */
   void breakConnections() {
     registry.trace(index() + " is cut");
     heldTasks.clear();
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -12,9 +12,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Several endpoints over one history on a virtual clock, and clients that call them. A call takes
- * from a quarter of a millisecond to one and a half each way, and meets what its endpoint does to
- * calls at that time.
+ * A simulated registry on a virtual clock: several endpoints that share one history, and the
+ * clients that call them. A call takes from 0.25 ms to 1.5 ms each way; the endpoint's fault mode
+ * when the call arrives decides how the call is treated.
  */
 final class VirtualRegistry {
   static final String PREFIX = "p/";
@@ -22,7 +22,7 @@
   private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI / 4;
   private static final long MAX_ONE_WAY_NANOS = 3 * Simulation.NANOS_PER_MILLI / 2;
 
-  /** How clients read: by watches, or by reads that block until something changes. */
+  /** How clients follow changes: by watch streams, or by reads that block until a change. */
   enum ReadStyle {
     WATCH,
     BLOCKING_READ
@@ -73,12 +73,12 @@
     return history;
   }
 
-  /** Entries that went over the wire in all. */
+  /** Total number of entries and events sent to clients. */
   long sentItems() {
     return sentItems;
   }
 
-  /** Answers that went over the wire in all. */
+  /** Total number of responses and watch frames delivered to clients. */
   long responseCount() {
     return responseCount;
   }
@@ -111,7 +111,7 @@
     }
   }
 
-  /** All that was written since a copy was made is gone; connections break. */
+  /** Replaces the history by a backup, which discards later writes, and breaks all connections. */
   void restore(RevisionedStore<RegistryRecord> backup) {
     history = backup;
     trace("restored to " + backup.clusterId() + " " + backup.revision());
@@ -122,7 +122,7 @@
     return random.nextLong(MIN_ONE_WAY_NANOS, MAX_ONE_WAY_NANOS);
   }
 
-  /** What an answer says of the registry: who reads by blocking reads learns no cluster's id. */
+  /** The header of a response; a response to a blocking read carries no cluster id. */
   Header header() {
     return new Header(isBlocking() ? "" : history.clusterId(), history.revision());
   }
@@ -133,7 +133,10 @@
         key, versioned.value(), versioned.createRevision(), versioned.modRevision());
   }
 
-  /** The entries of a state under the prefix, after a key, changed at a revision or later. */
+  /**
+   * Selects the entries of a state whose key is under the prefix and after a given key, and whose
+   * last change is at or after a given revision.
+   */
   List<RegistryEntry> entries(
       Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state,
       String afterKey,
--- a/lab/src/main/java/org/amberpath/lab/registry/package-info.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Registries tried: a stand-in on sockets that speaks etcd's and Consul's protocols ({@link
- * org.amberpath.lab.registry.StandInRegistry}), one on a virtual clock ({@code VirtualRegistry}),
- * the model on it, and a real gateway whose registry fails ({@link
- * org.amberpath.lab.registry.RegistryExperiment}).
+ * Simulations and experiments for the registry client: a stand-in registry on sockets that speaks
+ * etcd's and Consul's protocols ({@link org.amberpath.lab.registry.StandInRegistry}), a simulated
+ * registry on a virtual clock ({@code VirtualRegistry}) with the simulation that uses it ({@code
+ * RegistryModel}), and an experiment that injects faults into the registry of a real gateway
+ * ({@link org.amberpath.lab.registry.RegistryExperiment}).
  *
- * <p>Called by {@code lab registry}, {@code registry-model}, {@code registry-size} and {@code
- * standin}, and by tests. The stand-in belongs to one event loop; a model runs on one thread. Begin
- * with {@code RegistryModel}.
+ * <p>Used by the commands {@code lab registry}, {@code registry-model}, {@code registry-size} and
+ * {@code standin}, and by tests. The stand-in belongs to one event loop; a simulation runs on one
+ * thread. Start reading with {@code RegistryModel}.
  */
 package org.amberpath.lab.registry;
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
@@ -9,7 +9,7 @@
 import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
-/** The pure half against a registry that fails in any order, always from the same seeds. */
+/** Tests the registry client's protocol logic against simulated faults, with fixed seeds. */
 class RegistryModelExperimentTest {
   @Test
   void viewMatchesRegistryOnThousandSeeds() {
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -49,8 +49,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The runtime half of the registry on sockets against a stand-in: what only sockets, files and TLS
- * can get wrong.
+ * Tests {@link RegistrySource} over loopback sockets against a stand-in registry: failures that
+ * occur only with real sockets, files and TLS.
  */
 @Timeout(60)
 class RegistrySourceTest {
@@ -215,8 +215,9 @@
     put("a", EndpointState.UP);
     start(plain(form));
     await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 2);
-    // The passing of time is what is tested: both watches must have been steady for longer than an
-    // endpoint must be before the session relies on it.
+    // A fixed sleep, because the elapsed time is what matters: both watches must have been steady
+    // for
+    // longer than the session requires before it relies on an endpoint.
     Thread.sleep(1500);
     callOnLoop(
         () -> {
@@ -282,7 +283,7 @@
     assertFalse(logged.toString().contains(SECRET));
   }
 
-  /** Makes a key and a certificate for 127.0.0.1 with the JDK's own tool, as PEM files. */
+  /** Creates a key and a certificate for 127.0.0.1 with the JDK's keytool, as PEM files. */
   private PemKeyCertOptions certificate(String name) throws Exception {
     Path store = folder.resolve(name + ".p12");
     Process made =
@@ -346,7 +347,7 @@
           return null;
         });
     await(() -> is("a", EndpointState.UP));
-    // Read again, files leave an open watch alone.
+    // Reading the files again does not affect an open watch.
     callOnLoop(
         () -> {
           source.reload();
