--- a/lab/src/main/java/org/amberpath/lab/registry/ConsulResponder.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/ConsulResponder.java
@@ -28,15 +28,15 @@
 
   void respond(HttpServerRequest request, Buffer body) {
     if (request.path().equals("/v1/txn")) {
-      transaction(request.response(), new JsonArray(body));
+      handleTransaction(request.response(), new JsonArray(body));
     } else if (request.path().startsWith(KV_PATH)) {
-      read(request, request.path().substring(KV_PATH.length()));
+      handleRead(request, request.path().substring(KV_PATH.length()));
     } else {
       JsonResponses.sendNotFound(request.response());
     }
   }
 
-  private void read(HttpServerRequest request, String key) {
+  private void handleRead(HttpServerRequest request, String key) {
     String indexParameter = request.getParam("index");
     long index = indexParameter == null ? 0 : Long.parseLong(indexParameter);
     boolean recurse = request.getParam("recurse") != null;
@@ -50,8 +50,8 @@
     vertx.setPeriodic(
         POLL_MILLIS,
         timer -> {
-          boolean over = System.nanoTime() > untilNanos || request.response().closed();
-          if (over || index != registry.revision()) {
+          boolean expired = System.nanoTime() > untilNanos || request.response().closed();
+          if (expired || index != registry.revision()) {
             vertx.cancelTimer(timer);
             if (!request.response().closed()) {
               sendMatching(request.response(), key, recurse);
@@ -84,7 +84,7 @@
         .end(matching.isEmpty() ? "" : matching.encode());
   }
 
-  private void transaction(HttpServerResponse response, JsonArray operations) {
+  private void handleTransaction(HttpServerResponse response, JsonArray operations) {
     Map<String, byte[]> writes = new TreeMap<>();
     for (Object each : operations) {
       JsonObject operation = ((JsonObject) each).getJsonObject("KV");
--- a/lab/src/main/java/org/amberpath/lab/registry/EtcdResponder.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdResponder.java
@@ -26,7 +26,7 @@
   void respond(StandInEndpoint endpoint, HttpServerRequest request, Buffer body) {
     HttpServerResponse response = request.response();
     switch (request.path()) {
-      case "/v3/kv/range" -> range(response, new JsonObject(body));
+      case "/v3/kv/range" -> handleRange(response, new JsonObject(body));
       case "/v3/watch" ->
           new EtcdWatchStream(
                   registry,
@@ -34,9 +34,9 @@
                   response,
                   new JsonObject(body).getJsonObject("create_request"))
               .open();
-      case "/v3/kv/txn" -> transaction(response, new JsonObject(body));
-      case "/v3/lease/grant" -> grantLease(response, new JsonObject(body));
-      case "/v3/lease/keepalive" -> keepLeaseAlive(response, new JsonObject(body));
+      case "/v3/kv/txn" -> handleTransaction(response, new JsonObject(body));
+      case "/v3/lease/grant" -> handleLeaseGrant(response, new JsonObject(body));
+      case "/v3/lease/keepalive" -> handleLeaseKeepAlive(response, new JsonObject(body));
       case "/v3/lease/revoke" -> {
         leases.revoke(JsonResponses.number(new JsonObject(body), "ID"));
         response.end(new JsonObject().put("header", header(registry)).encode());
@@ -66,7 +66,7 @@
     response.end(new JsonObject().put("header", header(registry)).put("token", token).encode());
   }
 
-  private void range(HttpServerResponse response, JsonObject request) {
+  private void handleRange(HttpServerResponse response, JsonObject request) {
     RevisionedStore<byte[]> history = registry.history();
     long revision = JsonResponses.number(request, "revision");
     if (revision != 0 && revision < history.compactedRevision()) {
@@ -76,50 +76,52 @@
     }
     long limit = JsonResponses.number(request, "limit");
     long minModRevision = JsonResponses.number(request, "min_mod_revision");
-    String from = JsonResponses.text(request, "key");
-    String end = JsonResponses.text(request, "range_end");
+    String startKey = JsonResponses.text(request, "key");
+    String rangeEnd = JsonResponses.text(request, "range_end");
     NavigableMap<String, RevisionedStore.VersionedValue<byte[]>> state =
         history.stateAt(revision == 0 ? history.revision() : revision);
     NavigableMap<String, RevisionedStore.VersionedValue<byte[]>> matching =
-        end.isEmpty() ? state.subMap(from, true, from, true) : state.subMap(from, true, end, false);
-    JsonArray found = new JsonArray();
+        rangeEnd.isEmpty()
+            ? state.subMap(startKey, true, startKey, true)
+            : state.subMap(startKey, true, rangeEnd, false);
+    JsonArray keyValues = new JsonArray();
     boolean hasMore = false;
     for (Map.Entry<String, RevisionedStore.VersionedValue<byte[]>> entry : matching.entrySet()) {
       if (entry.getValue().modRevision() >= minModRevision) {
-        hasMore = limit > 0 && found.size() == limit;
+        hasMore = limit > 0 && keyValues.size() == limit;
         if (hasMore) {
           break;
         }
-        found.add(keyValue(entry.getKey(), entry.getValue()));
+        keyValues.add(keyValue(entry.getKey(), entry.getValue()));
       }
     }
-    JsonObject answer =
+    JsonObject responseBody =
         new JsonObject()
             .put("header", header(registry))
             .put("count", Integer.toString(matching.size()));
-    if (!found.isEmpty()) {
-      answer.put("kvs", found);
+    if (!keyValues.isEmpty()) {
+      responseBody.put("kvs", keyValues);
     }
-    response.end((hasMore ? answer.put("more", true) : answer).encode());
+    response.end((hasMore ? responseBody.put("more", true) : responseBody).encode());
   }
 
-  private void transaction(HttpServerResponse response, JsonObject request) {
-    boolean holds = true;
+  private void handleTransaction(HttpServerResponse response, JsonObject request) {
+    boolean comparisonsHold = true;
     for (Object each : request.getJsonArray("compare", new JsonArray())) {
       JsonObject compare = (JsonObject) each;
       RevisionedStore.VersionedValue<byte[]> versioned =
           registry.history().current().get(JsonResponses.text(compare, "key"));
       long modRevision = versioned == null ? 0 : versioned.modRevision();
-      holds &= JsonResponses.number(compare, "mod_revision") == modRevision;
+      comparisonsHold &= JsonResponses.number(compare, "mod_revision") == modRevision;
     }
-    if (holds) {
-      registry.write(writesOf(request.getJsonArray("success")));
+    if (comparisonsHold) {
+      registry.write(toWrites(request.getJsonArray("success")));
     }
-    JsonObject answer = new JsonObject().put("header", header(registry));
-    response.end((holds ? answer.put("succeeded", true) : answer).encode());
+    JsonObject responseBody = new JsonObject().put("header", header(registry));
+    response.end((comparisonsHold ? responseBody.put("succeeded", true) : responseBody).encode());
   }
 
-  private Map<String, byte[]> writesOf(JsonArray operations) {
+  private Map<String, byte[]> toWrites(JsonArray operations) {
     Map<String, byte[]> writes = new TreeMap<>();
     for (Object each : operations) {
       JsonObject operation = (JsonObject) each;
@@ -136,7 +138,7 @@
     return writes;
   }
 
-  private void grantLease(HttpServerResponse response, JsonObject request) {
+  private void handleLeaseGrant(HttpServerResponse response, JsonObject request) {
     long seconds = Long.parseLong(request.getString("TTL"));
     response.end(
         new JsonObject()
@@ -146,7 +148,7 @@
             .encode());
   }
 
-  private void keepLeaseAlive(HttpServerResponse response, JsonObject request) {
+  private void handleLeaseKeepAlive(HttpServerResponse response, JsonObject request) {
     long id = JsonResponses.number(request, "ID");
     JsonObject result =
         new JsonObject().put("header", header(registry)).put("ID", Long.toString(id));
--- a/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
@@ -12,8 +12,8 @@
   private final StandInRegistry registry;
   private final StandInEndpoint endpoint;
   private final HttpServerResponse response;
-  private final String from;
-  private final String end;
+  private final String startKey;
+  private final String rangeEnd;
   private long nextRevision;
 
   EtcdWatchStream(
@@ -24,8 +24,8 @@
     this.registry = registry;
     this.endpoint = endpoint;
     this.response = response;
-    from = JsonResponses.text(createRequest, "key");
-    end = JsonResponses.text(createRequest, "range_end");
+    startKey = JsonResponses.text(createRequest, "key");
+    rangeEnd = JsonResponses.text(createRequest, "range_end");
     nextRevision = JsonResponses.number(createRequest, "start_revision");
   }
 
@@ -42,13 +42,13 @@
       response.end();
       return;
     }
-    endpoint.opened(this);
-    response.closeHandler(closed -> endpoint.closed(this));
+    endpoint.addWatch(this);
+    response.closeHandler(closed -> endpoint.removeWatch(this));
     sendChanges();
   }
 
   /** Writes an incomplete line. */
-  void breakLine() {
+  void writeIncompleteLine() {
     response.write("{\"result\":{\"header\":{\"clus");
   }
 
@@ -67,13 +67,13 @@
 
   /** Sends the changes that this watch has not sent yet, if the endpoint sends on it now. */
   void sendChanges() {
-    if (!endpoint.sendsTo(this)) {
+    if (!endpoint.canSendTo(this)) {
       return;
     }
     JsonArray events = new JsonArray();
     for (RevisionedStore.Change<byte[]> change :
         registry.history().changesBetween(nextRevision, registry.revision())) {
-      if (change.key().compareTo(from) >= 0 && change.key().compareTo(end) < 0) {
+      if (change.key().compareTo(startKey) >= 0 && change.key().compareTo(rangeEnd) < 0) {
         events.add(event(change));
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/registry/PendingCall.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/PendingCall.java
@@ -22,7 +22,7 @@
   private long nextRevision;
   private long lastArrivalNanos;
   private boolean watching;
-  private boolean broken;
+  private boolean connectionBroken;
 
   PendingCall(VirtualRegistry registry, VirtualClient client, long callId, int endpointIndex) {
     this.registry = registry;
@@ -30,8 +30,8 @@
     this.client = client;
     this.callId = callId;
     endpoint = registry.endpoints().get(endpointIndex);
-    client.opened(callId, this);
-    endpoint.opened(this);
+    client.addCall(callId, this);
+    endpoint.addCall(this);
   }
 
   long callId() {
@@ -47,14 +47,15 @@
    * the task while the endpoint is silent, and otherwise fails the call.
    */
   void atEndpoint(Runnable task) {
-    endpoint.callMade();
+    endpoint.recordCall();
     scheduler.scheduleAfter(
-        registry.drawOneWayNanos(),
+        registry.randomOneWayDelayNanos(),
         () -> {
           switch (endpoint.behavior()) {
             case ANSWERS -> task.run();
             case SILENT ->
-                endpoint.hold(() -> scheduler.scheduleAfter(registry.drawOneWayNanos(), task));
+                endpoint.hold(
+                    () -> scheduler.scheduleAfter(registry.randomOneWayDelayNanos(), task));
             case REFUSES -> fail(RegistryFailure.REFUSED, 0);
             case UNAVAILABLE ->
                 fail(
@@ -77,34 +78,34 @@
         Math.max(
             lastArrivalNanos,
             scheduler.nowNanos()
-                + registry.drawOneWayNanos()
+                + registry.randomOneWayDelayNanos()
                 + endpoint.slownessNanos()
                 + extraNanos);
     scheduler.schedule(lastArrivalNanos, () -> deliver(task));
   }
 
   private void deliver(Runnable task) {
-    if (!client.isOpen(this) || broken) {
+    if (!client.isOpen(this) || connectionBroken) {
       return;
     }
     if (endpoint.behavior() == EndpointBehavior.SILENT) {
       endpoint.hold(() -> deliver(task));
       return;
     }
-    registry.responseSent();
+    registry.recordResponseSent();
     task.run();
     client.scheduleTick();
   }
 
   /** Breaks the connection: the call delivers nothing more and fails as BROKEN. */
   void breakConnection() {
-    broken = true;
+    connectionBroken = true;
     fail(RegistryFailure.BROKEN, 0);
   }
 
   private void fail(RegistryFailure failure, long retryAfterNanos) {
     scheduler.scheduleAfter(
-        registry.drawOneWayNanos(),
+        registry.randomOneWayDelayNanos(),
         () -> {
           if (complete()) {
             registry.trace("call " + callId + ": " + failure);
@@ -116,8 +117,8 @@
 
   /** Ends the call; returns false if the call had already ended. */
   boolean complete() {
-    endpoint.closed(this);
-    return client.closed(callId, this);
+    endpoint.removeCall(this);
+    return client.removeCall(callId, this);
   }
 
   /** Ends the call with the answer that the requested revision is compacted. */
@@ -142,7 +143,7 @@
   void endBlockingRead() {
     if (watching) {
       watching = false;
-      client.answerAll(this);
+      client.answerWithAllEntries(this);
     }
   }
 
@@ -163,7 +164,7 @@
     List<WatchEvent> changes = changesOfPrefix();
     nextRevision = registry.history().revision() + 1;
     Header header = registry.header();
-    registry.itemsSent(changes.size());
+    registry.recordEntriesSent(changes.size());
     if (changes.size() > 1 && registry.random().nextInt(SPLIT_ONE_IN) == 0) {
       int splitAt = registry.random().nextInt(1, changes.size());
       sendFrame(header, changes.subList(0, splitAt), true);
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -30,7 +30,7 @@
   private long listingCount;
   private boolean listing;
   private boolean fullListing;
-  private boolean changedSinceTaken;
+  private boolean changedSinceCheck;
   private boolean repeatedPurgesAllowed;
 
   RecordedEndpointList(LongSupplier clock, Consumer<String> trace, Consumer<String> violation) {
@@ -68,9 +68,9 @@
   }
 
   /** Whether a listing has started since the previous call of this method. */
-  boolean takeChanged() {
-    boolean changedBefore = changedSinceTaken;
-    changedSinceTaken = false;
+  boolean checkAndClearChanged() {
+    boolean changedBefore = changedSinceCheck;
+    changedSinceCheck = false;
     return changedBefore;
   }
 
@@ -92,7 +92,7 @@
     trace.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
     listing = true;
     fullListing = kind == EndpointListKind.FULL;
-    changedSinceTaken = true;
+    changedSinceCheck = true;
     listingCount++;
     if (kind == EndpointListKind.FULL) {
       caches.clear();
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryApplyDelay.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryApplyDelay.java
@@ -74,7 +74,7 @@
     VirtualClient[] self = new VirtualClient[1];
     RegistryView view =
         new RegistryView(
-            new RegistrySizeExperiment.CompletionListener(() -> applied(self[0])),
+            new RegistrySizeExperiment.CompletionListener(() -> recordApplyDelay(self[0])),
             VirtualRegistry.TIP_KEY,
             cacheCount * 2,
             PURGE_RETENTION_NANOS,
@@ -83,7 +83,7 @@
     clients.add(self[0]);
   }
 
-  private void applied(VirtualClient client) {
+  private void recordApplyDelay(VirtualClient client) {
     Long committedNanos = committedAtNanos.get(client.view().appliedRevision());
     if (committedNanos != null) {
       delayMicros.recordValue((scheduler.nowNanos() - committedNanos) / 1000);
@@ -95,10 +95,10 @@
     long responsesBefore = registry.responseCount();
     long startedNanos = System.nanoTime();
     long firstNanos = Simulation.EPOCH_NANOS + LISTING_NANOS;
-    for (long afterNanos = 0;
-        afterNanos < CHANGE_SECONDS * Simulation.NANOS_PER_SECOND;
-        afterNanos += Simulation.NANOS_PER_SECOND / changesPerSecond) {
-      scheduler.schedule(firstNanos + afterNanos, this::change);
+    for (long offsetNanos = 0;
+        offsetNanos < CHANGE_SECONDS * Simulation.NANOS_PER_SECOND;
+        offsetNanos += Simulation.NANOS_PER_SECOND / changesPerSecond) {
+      scheduler.schedule(firstNanos + offsetNanos, this::change);
     }
     scheduler.runUntil(firstNanos + MEASURED_SECONDS * Simulation.NANOS_PER_SECOND);
     long busyNanos = System.nanoTime() - startedNanos;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -22,9 +22,9 @@
   private static final int CONNECTIONS = 8;
   private static final int REQUESTS_PER_SECOND = 150;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
-  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long RESPONSE_WAIT_MILLIS = 1700;
   private static final long FAULT_PERIOD_MILLIS = 4000;
-  private static final long LAST_FAULT_MILLIS = 1600;
+  private static final long FAULT_EXPIRY_MILLIS = 1600;
   private static final long QUIET_PERIOD_MILLIS = 2500;
 
   /** Load before judging starts, so that the JIT compiler's warm-up does not count as a fault. */
@@ -36,14 +36,14 @@
   private final long seed;
   private final LoopbackTestbed testbed;
   private final RegistryJudge judge;
-  private final RegistryDisturbance disturbance;
+  private final RegistryFaultInjector faultInjector;
   private long quietPeriods;
 
   private RegistryExperiment(long seed) {
     this.seed = seed;
     testbed = new LoopbackTestbed(seed);
     judge = new RegistryJudge(testbed);
-    disturbance = new RegistryDisturbance(testbed, judge, EDGE_CACHES, seed);
+    faultInjector = new RegistryFaultInjector(testbed, judge, EDGE_CACHES, seed);
   }
 
   /** Runs fault periods for at least the given seconds; the last one ends with a quiet period. */
@@ -80,22 +80,22 @@
       testbed.runOnLoop(() -> judge.start(startedNanos));
       testbed.watchGatewayLoop(RegistryJudge.TICK_MILLIS, judge::gatewayLoopLate);
       do {
-        disturb();
+        runFaultPeriod();
       } while (System.nanoTime() < startedNanos + seconds * NANOS_PER_SECOND);
       testbed.runOnLoop(loadGenerator::stop);
-      Thread.sleep(LAST_ANSWER_MILLIS);
+      Thread.sleep(RESPONSE_WAIT_MILLIS);
       report(loadGenerator, System.nanoTime() - startedNanos, result);
     }
     return result;
   }
 
   /** Runs one period of changes and faults, heals them, and compares views after a quiet period. */
-  private void disturb() throws Exception {
-    testbed.runOnLoop(disturbance::start);
+  private void runFaultPeriod() throws Exception {
+    testbed.runOnLoop(faultInjector::start);
     Thread.sleep(FAULT_PERIOD_MILLIS);
-    testbed.runOnLoop(disturbance::stop);
-    Thread.sleep(LAST_FAULT_MILLIS);
-    testbed.runOnLoop(disturbance::heal);
+    testbed.runOnLoop(faultInjector::stop);
+    Thread.sleep(FAULT_EXPIRY_MILLIS);
+    testbed.runOnLoop(faultInjector::heal);
     Thread.sleep(QUIET_PERIOD_MILLIS);
     quietPeriods++;
     testbed.runOnLoop(judge::compareViews);
@@ -107,11 +107,11 @@
     }
     List<String> violations = judge.violations();
     result
-        .figure("changes", disturbance.changeCount())
-        .figure("faults", disturbance.faultCount())
-        .figure("restores", disturbance.restoreCount())
-        .figure("drains", disturbance.drainCount())
-        .figure("purges", disturbance.purgeCount())
+        .figure("changes", faultInjector.changeCount())
+        .figure("faults", faultInjector.faultCount())
+        .figure("restores", faultInjector.restoreCount())
+        .figure("drains", faultInjector.drainCount())
+        .figure("purges", faultInjector.purgeCount())
         .figure("quiet_times", quietPeriods)
         .figure("listings", judge.recordedList().listingCount())
         .figure("last_get_after_drain_ms", judge.worstDrainMillis())
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryDisturbance.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaultInjector.java
@@ -16,7 +16,7 @@
  * Writes changes to a stand-in registry and injects faults into its endpoints, at random times
  * derived from a seed. Must be used on the testbed's event loop only.
  */
-final class RegistryDisturbance {
+final class RegistryFaultInjector {
   private static final int CHANGE_KINDS = 8;
   private static final int FAULT_KINDS = 8;
   private static final int OBJECTS = 20;
@@ -48,7 +48,7 @@
   private boolean active;
   private boolean restoring;
 
-  RegistryDisturbance(LoopbackTestbed testbed, RegistryJudge judge, int edgeCaches, long seed) {
+  RegistryFaultInjector(LoopbackTestbed testbed, RegistryJudge judge, int edgeCaches, long seed) {
     this.testbed = testbed;
     this.judge = judge;
     vertx = testbed.vertx();
@@ -111,7 +111,7 @@
   }
 
   /** Whether a cache may be drained or deleted: at least half of the caches must stay ready. */
-  private boolean mayGo(String id) {
+  private boolean mayRemove(String id) {
     return judge.drainedCount() + absentCaches.size() < edgeCaches / 2 && !judge.isDrained(id);
   }
 
@@ -120,21 +120,21 @@
     String id = "e" + random.nextInt(edgeCaches);
     switch (random.nextInt(CHANGE_KINDS)) {
       case 0, 1, 2 -> {
-        if (mayGo(id) && !absentCaches.contains(id)) {
+        if (mayRemove(id) && !absentCaches.contains(id)) {
           testbed.putCache(id, EndpointState.DRAINING);
           judge.cacheDrained(id);
           drainCount++;
         }
       }
       case 3 -> {
-        if (mayGo(id) && absentCaches.add(id)) {
+        if (mayRemove(id) && absentCaches.add(id)) {
           testbed.deleteCache(id);
         }
       }
       case 4 -> purge(1L + random.nextInt(OBJECTS));
       case 5 ->
           testbed.write(
-              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + RegistryJudge.SPOILT_CACHE,
+              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + RegistryJudge.UNREADABLE_CACHE,
               Optional.of(new byte[] {'{', (byte) random.nextInt(256)}));
       default -> {
         judge.cacheReady(id);
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
@@ -21,8 +21,8 @@
   private static final int LONG_OUTAGE_ONE_IN = 4;
   private static final long MAX_LONG_OUTAGE_NANOS = 7 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_SHORT_OUTAGE_NANOS = Simulation.NANOS_PER_SECOND;
-  private static final long NO_BACKUP_NANOS = 5 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_RESTORE_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long LAST_BACKUP_BEFORE_END_NANOS = 5 * Simulation.NANOS_PER_SECOND;
+  private static final long LAST_RESTORE_BEFORE_END_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_BACKUP_AGE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MIN_DOWN_NANOS = 1200 * Simulation.NANOS_PER_MILLI;
 
@@ -31,7 +31,7 @@
   private final Simulation simulation;
   private final SplittableRandom random;
   private boolean restoring;
-  private int newClusterIds;
+  private int newClusterIdCount;
 
   RegistryFaults(RegistryModel model) {
     this.model = model;
@@ -101,18 +101,19 @@
    */
   private void restoreFromBackup() {
     if (restoring
-        || simulation.nowNanos() > simulation.faultsUntilNanos() - NO_BACKUP_NANOS
+        || simulation.nowNanos() > simulation.faultsUntilNanos() - LAST_BACKUP_BEFORE_END_NANOS
         || random.nextInt(2) == 0) {
       return;
     }
     String clusterId =
-        random.nextBoolean() ? registry.history().clusterId() : "c" + (2 + ++newClusterIds);
+        random.nextBoolean() ? registry.history().clusterId() : "c" + (2 + ++newClusterIdCount);
     RevisionedStore<RegistryRecord> backup = registry.history().copyAs(clusterId);
     simulation.after(random.nextLong(MAX_BACKUP_AGE_NANOS), () -> takeDown(backup));
   }
 
   private void takeDown(RevisionedStore<RegistryRecord> backup) {
-    if (restoring || simulation.nowNanos() > simulation.faultsUntilNanos() - NO_RESTORE_NANOS) {
+    if (restoring
+        || simulation.nowNanos() > simulation.faultsUntilNanos() - LAST_RESTORE_BEFORE_END_NANOS) {
       return;
     }
     restoring = true;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -20,11 +20,11 @@
  */
 final class RegistryJudge {
   /** Id of the cache whose record is overwritten with unreadable bytes at random times. */
-  static final String SPOILT_CACHE = "spoilt";
+  static final String UNREADABLE_CACHE = "spoilt";
 
   static final long TICK_MILLIS = 5;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * NANOS_PER_MILLI;
+  private static final long MIN_HEALTHY_NANOS = 1250 * NANOS_PER_MILLI;
   private static final long SOCKET_ALLOWANCE_MILLIS = 50;
   private static final long MAX_DRAIN_NANOS = (250 + SOCKET_ALLOWANCE_MILLIS) * NANOS_PER_MILLI;
   private static final long MAX_PURGE_MILLIS = 300 + SOCKET_ALLOWANCE_MILLIS;
@@ -118,7 +118,7 @@
     return unjudgedNanos;
   }
 
-  private boolean isJudged() {
+  private boolean isJudgingActive() {
     return System.nanoTime() - stalledAtNanos > UNJUDGED_AFTER_STALL_NANOS;
   }
 
@@ -126,10 +126,10 @@
    * Whether the gateway must be up to date: judging is not suspended, and an endpoint has been
    * healthy for long enough.
    */
-  private boolean mustKnow() {
-    return isJudged()
+  private boolean gatewayMustBeCurrent() {
+    return isJudgingActive()
         && testbed.registry().endpoints().stream()
-            .anyMatch(endpoint -> endpoint.isHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS));
+            .anyMatch(endpoint -> endpoint.isHealthyFor(MIN_HEALTHY_NANOS));
   }
 
   /**
@@ -144,7 +144,7 @@
     if (nowNanos - observedAtNanos > TICK_MILLIS * NANOS_PER_MILLI + STALL_NANOS) {
       stalledAtNanos = nowNanos;
     }
-    unjudgedNanos += isJudged() ? 0 : nowNanos - observedAtNanos;
+    unjudgedNanos += isJudgingActive() ? 0 : nowNanos - observedAtNanos;
     observedAtNanos = nowNanos;
     drainedAtNanos.forEach(this::judgeDrain);
   }
@@ -153,10 +153,10 @@
     long afterNanos = testbed.cache(cache).lastRequestNanos() - drainedNanos;
     boolean firstSeen =
         afterNanos > 0 && judgedRequests.add(cache + drainedNanos + "/" + afterNanos);
-    if (firstSeen && afterNanos > worstDrainNanos && mustKnow()) {
+    if (firstSeen && afterNanos > worstDrainNanos && gatewayMustBeCurrent()) {
       worstDrainNanos = afterNanos;
     }
-    if (firstSeen && afterNanos > MAX_DRAIN_NANOS && mustKnow()) {
+    if (firstSeen && afterNanos > MAX_DRAIN_NANOS && gatewayMustBeCurrent()) {
       violation(
           "a GET came to " + cache + " " + afterNanos / NANOS_PER_MILLI + " ms after its drain");
     }
@@ -173,7 +173,7 @@
     if (purgedAt != null
         && response.issuedAtMillis() < purgedAt
         && sentAtMillis > purgedAt + MAX_PURGE_MILLIS
-        && mustKnow()) {
+        && gatewayMustBeCurrent()) {
       violation(
           "object "
               + response.object()
@@ -194,7 +194,7 @@
     testbed.registry().entries().keySet().stream()
         .filter(key -> key.startsWith(CACHES_PREFIX))
         .map(key -> key.substring(CACHES_PREFIX.length()))
-        .filter(id -> !id.equals(SPOILT_CACHE))
+        .filter(id -> !id.equals(UNREADABLE_CACHE))
         .forEach(
             id ->
                 registryStates.put(id, isDrained(id) ? EndpointState.DRAINING : EndpointState.UP));
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -23,7 +23,7 @@
   static final long QUIET_PERIOD_NANOS = 5 * Simulation.NANOS_PER_SECOND;
 
   /** Time that an endpoint must have been healthy before the view must be up to date. */
-  static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * Simulation.NANOS_PER_MILLI;
+  static final long MIN_HEALTHY_NANOS = 1250 * Simulation.NANOS_PER_MILLI;
 
   private static final long FAULT_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
   private static final int BLOCKING_ONE_IN = 4;
@@ -99,8 +99,8 @@
   }
 
   /** Whether an endpoint has been healthy for long enough that the view must be up to date. */
-  boolean isJudged() {
-    return registry.anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS);
+  boolean viewMustBeCurrent() {
+    return registry.anyHealthyFor(MIN_HEALTHY_NANOS);
   }
 
   /**
@@ -118,8 +118,8 @@
     simulation.after(random.nextLong(Simulation.NANOS_PER_SECOND), faults::inject);
     simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::end);
     long steps = simulation.run(QUIET_PERIOD_NANOS, this::checkInvariants);
-    boolean judged = isJudged();
-    if (judged
+    boolean viewMustBeCurrent = viewMustBeCurrent();
+    if (viewMustBeCurrent
         && (client.view().appliedRevision() < lastRevisionOfPrefix()
             || !matches(expectedStates.get(expectedStates.size() - 1)))) {
       throw new InvariantViolation(
@@ -136,7 +136,7 @@
         "drains",
         workload.drainCount(),
         "quiet_judged",
-        judged ? 1L : 0L,
+        viewMustBeCurrent ? 1L : 0L,
         "listings",
         recordedList.listingCount());
   }
@@ -172,7 +172,7 @@
   }
 
   private void checkInvariants() {
-    if (!recordedList.takeChanged()) {
+    if (!recordedList.checkAndClearChanged()) {
       return;
     }
     long revision = client.view().appliedRevision();
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryReturnLoad.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryReconnectLoad.java
@@ -15,16 +15,17 @@
  * 5 s. Reports the highest number of calls to one endpoint within 100 ms after the endpoints
  * return, the same figure once the load is steady, and the time until all clients are current.
  */
-final class RegistryReturnLoad {
+final class RegistryReconnectLoad {
   private static final int CLIENTS = 500;
   private static final int CACHES = 50;
   private static final int MAX_KEYS = 1000;
   private static final long PURGE_RETENTION_NANOS = 600 * Simulation.NANOS_PER_SECOND;
-  private static final long OUTAGE_STARTS_NANOS =
+  private static final long OUTAGE_START_NANOS =
       Simulation.EPOCH_NANOS + 3 * Simulation.NANOS_PER_SECOND;
-  private static final long RETURN_NANOS = OUTAGE_STARTS_NANOS + 5 * Simulation.NANOS_PER_SECOND;
-  private static final long STEADY_NANOS = RETURN_NANOS + 7 * Simulation.NANOS_PER_SECOND;
-  private static final long END_NANOS = RETURN_NANOS + 8 * Simulation.NANOS_PER_SECOND;
+  private static final long RECOVERY_NANOS = OUTAGE_START_NANOS + 5 * Simulation.NANOS_PER_SECOND;
+  private static final long STEADY_LOAD_START_NANOS =
+      RECOVERY_NANOS + 7 * Simulation.NANOS_PER_SECOND;
+  private static final long END_NANOS = RECOVERY_NANOS + 8 * Simulation.NANOS_PER_SECOND;
   private static final long BIN_NANOS = 100 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_CURRENT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
 
@@ -36,7 +37,7 @@
   private long steadyCalls;
   private long allCurrentAfterNanos;
 
-  RegistryReturnLoad(long seed) {
+  RegistryReconnectLoad(long seed) {
     random = new SplittableRandom(seed);
     registry =
         new VirtualRegistry(
@@ -62,15 +63,15 @@
       clients.add(new VirtualClient(registry, view, MAX_KEYS, random.nextLong(), line -> {}));
     }
     clients.forEach(VirtualClient::start);
-    scheduler.schedule(OUTAGE_STARTS_NANOS, () -> setAll(EndpointBehavior.REFUSES));
+    scheduler.schedule(OUTAGE_START_NANOS, () -> setAll(EndpointBehavior.REFUSES));
     scheduler.schedule(
-        RETURN_NANOS,
+        RECOVERY_NANOS,
         () -> {
           setAll(EndpointBehavior.ANSWERS);
           RegistrySizeExperiment.write(registry, 0, EndpointState.DRAINING);
         });
-    scheduler.runUntil(RETURN_NANOS);
-    for (long binNanos = RETURN_NANOS; binNanos < END_NANOS; binNanos += BIN_NANOS) {
+    scheduler.runUntil(RECOVERY_NANOS);
+    for (long binNanos = RECOVERY_NANOS; binNanos < END_NANOS; binNanos += BIN_NANOS) {
       measureBin(binNanos);
     }
     result
@@ -91,12 +92,12 @@
     for (int index = 0; index < endpoints.size(); index++) {
       long calls = endpoints.get(index).callCount() - callsBefore[index];
       peakCalls = Math.max(peakCalls, calls);
-      if (binNanos >= STEADY_NANOS) {
+      if (binNanos >= STEADY_LOAD_START_NANOS) {
         steadyCalls = Math.max(steadyCalls, calls);
       }
     }
     if (allCurrentAfterNanos == 0 && clients.stream().allMatch(this::isCurrent)) {
-      allCurrentAfterNanos = binNanos + BIN_NANOS - RETURN_NANOS;
+      allCurrentAfterNanos = binNanos + BIN_NANOS - RECOVERY_NANOS;
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -70,7 +70,7 @@
             .figure("clients", clientCount)
             .figure("changes_a_second", changesPerSecond);
     new RegistryApplyDelay(seed, cacheCount, clientCount, changesPerSecond).measure(result);
-    new RegistryReturnLoad(seed).measure(result);
+    new RegistryReconnectLoad(seed).measure(result);
     return result;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
@@ -17,12 +17,12 @@
 final class RegistryWorkload {
   private static final long MAX_DRAIN_NANOS = 250 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_PURGE_NANOS = 300 * Simulation.NANOS_PER_MILLI;
-  private static final long CHECK_AGAIN_NANOS = 10 * Simulation.NANOS_PER_MILLI;
+  private static final long RECHECK_INTERVAL_NANOS = 10 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_SHORT_INTERVAL_NANOS = 120 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_LONG_INTERVAL_NANOS = Simulation.NANOS_PER_SECOND;
   private static final int LONG_INTERVAL_ONE_IN = 5;
   private static final int CACHE_COUNT = 12;
-  private static final int MORE_CACHES = 4;
+  private static final int EXTRA_CACHES = 4;
   private static final int CHANGE_KINDS = 12;
   private static final int CACHES_IN_ONE_TRANSACTION = 4;
   private static final int WITHOUT_TIP_ONE_IN = 10;
@@ -38,7 +38,7 @@
   private final VirtualRegistry registry;
 
   /** Purges that ended before the view had any data: no stale copy could have been served. */
-  private final Set<Long> purgesNotNeeded = new HashSet<>();
+  private final Set<Long> purgesExpiredBeforeFirstData = new HashSet<>();
 
   private long purgeCount;
   private long drainCount;
@@ -77,25 +77,25 @@
   }
 
   private void changeOnce() {
-    int number = random.nextInt(CACHE_COUNT + MORE_CACHES);
+    int number = random.nextInt(CACHE_COUNT + EXTRA_CACHES);
     String id = "c" + number;
-    boolean touchesTip = random.nextInt(WITHOUT_TIP_ONE_IN) > 0;
+    boolean updatesTip = random.nextInt(WITHOUT_TIP_ONE_IN) > 0;
     switch (random.nextInt(CHANGE_KINDS)) {
       case 0, 1, 2 -> {
-        write(id, cache(number, EndpointState.DRAINING), touchesTip);
-        if (touchesTip) {
+        write(id, cache(number, EndpointState.DRAINING), updatesTip);
+        if (updatesTip) {
           expectDrain(id);
         }
       }
-      case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), touchesTip);
-      case 6 -> write(id, null, touchesTip);
+      case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), updatesTip);
+      case 6 -> write(id, null, updatesTip);
       case 7 -> {
         // Deletes the cache, and registers another one under the same id immediately.
-        write(id, null, touchesTip);
-        write(id, cache(number, EndpointState.UP), touchesTip);
+        write(id, null, updatesTip);
+        write(id, cache(number, EndpointState.UP), updatesTip);
       }
-      case 8 -> writeSeveral(touchesTip);
-      case 9 -> write(id, new RegistryRecord.Unreadable("spoilt"), touchesTip);
+      case 8 -> writeSeveral(updatesTip);
+      case 9 -> write(id, new RegistryRecord.Unreadable("spoilt"), updatesTip);
       case 10 -> purge();
       default ->
           registry.write(new TreeMap<>(Map.of("other/" + number, new RegistryRecord.Other())));
@@ -107,13 +107,13 @@
     }
   }
 
-  private void writeSeveral(boolean touchesTip) {
+  private void writeSeveral(boolean updatesTip) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     for (int count = 0; count < CACHES_IN_ONE_TRANSACTION; count++) {
-      int number = random.nextInt(CACHE_COUNT + MORE_CACHES);
+      int number = random.nextInt(CACHE_COUNT + EXTRA_CACHES);
       writes.put(VirtualRegistry.PREFIX + "caches/c" + number, cache(number, EndpointState.UP));
     }
-    write(writes, touchesTip);
+    write(writes, updatesTip);
   }
 
   private RegistryRecord.Cache cache(int number, EndpointState state) {
@@ -121,14 +121,14 @@
     return new RegistryRecord.Cache("c" + number, address, "z", "box", 0, state, 1, 0);
   }
 
-  private void write(String id, RegistryRecord content, boolean touchesTip) {
+  private void write(String id, RegistryRecord content, boolean updatesTip) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     writes.put(VirtualRegistry.PREFIX + "caches/" + id, content);
-    write(writes, touchesTip);
+    write(writes, updatesTip);
   }
 
-  private void write(Map<String, RegistryRecord> writes, boolean touchesTip) {
-    if (touchesTip) {
+  private void write(Map<String, RegistryRecord> writes, boolean updatesTip) {
+    if (updatesTip) {
       writes.put(VirtualRegistry.TIP_KEY, new RegistryRecord.Other());
     }
     registry.write(writes);
@@ -155,13 +155,13 @@
     write(writes, true);
     long purgedAtNanos = simulation.nowNanos();
     RevisionedStore<RegistryRecord> history = registry.history();
-    simulation.after(RegistryModel.PURGE_RETENTION_NANOS, () -> endPurge(object, history));
+    simulation.after(RegistryModel.PURGE_RETENTION_NANOS, () -> expirePurge(object, history));
     simulation.after(MAX_PURGE_NANOS, () -> checkPurge(object, purgedAtNanos, history));
   }
 
-  private void endPurge(long object, RevisionedStore<RegistryRecord> history) {
+  private void expirePurge(long object, RevisionedStore<RegistryRecord> history) {
     if (!model.client().view().hasData()) {
-      purgesNotNeeded.add(object);
+      purgesExpiredBeforeFirstData.add(object);
     }
     if (history == registry.history()) {
       Map<String, RegistryRecord> deletion = new TreeMap<>();
@@ -174,19 +174,19 @@
   private void checkPurge(
       long object, long purgedAtNanos, RevisionedStore<RegistryRecord> history) {
     // A purge that the restored backup does not contain cannot reach the view.
-    if (purgesNotNeeded.contains(object)
+    if (purgesExpiredBeforeFirstData.contains(object)
         || (history != registry.history()
             && !registry.history().current().containsKey(purgeKey(object)))
         || model.recordedList().purgedSince(object, purgedAtNanos)) {
       return;
     }
-    if (model.isJudged() && !model.isRestoring()) {
+    if (model.viewMustBeCurrent() && !model.isRestoring()) {
       throw new InvariantViolation(
           "purge " + object + " of " + purgedAtNanos + " not told by " + simulation.nowNanos());
     }
     if (simulation.nowNanos()
         < simulation.faultsUntilNanos() + RegistryModel.QUIET_PERIOD_NANOS - MAX_PURGE_NANOS) {
-      simulation.after(CHECK_AGAIN_NANOS, () -> checkPurge(object, purgedAtNanos, history));
+      simulation.after(RECHECK_INTERVAL_NANOS, () -> checkPurge(object, purgedAtNanos, history));
     }
   }
 
@@ -206,12 +206,12 @@
       return;
     }
     VirtualClient client = model.client();
-    String viewOf = client.view().clusterId();
+    String viewClusterId = client.view().clusterId();
     if (client.view().appliedRevision() >= revision
-        && (viewOf.isEmpty() || viewOf.equals(history.clusterId()))) {
+        && (viewClusterId.isEmpty() || viewClusterId.equals(history.clusterId()))) {
       return;
     }
-    if (model.isJudged()) {
+    if (model.viewMustBeCurrent()) {
       throw new InvariantViolation(
           "drain of "
               + id
@@ -226,6 +226,7 @@
               + ": "
               + client.session().phase());
     }
-    simulation.after(CHECK_AGAIN_NANOS, () -> checkDrain(id, revision, drainedAtNanos, history));
+    simulation.after(
+        RECHECK_INTERVAL_NANOS, () -> checkDrain(id, revision, drainedAtNanos, history));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -92,23 +92,23 @@
   }
 
   /** Compacts the history: discards all states at revisions lower than the given one. */
-  void compact(long upTo) {
+  void compact(long newCompactedRevision) {
     int index = 0;
-    for (; index < changes.size() && changes.get(index).revision <= upTo; index++) {
+    for (; index < changes.size() && changes.get(index).revision <= newCompactedRevision; index++) {
       apply(compactedState, changes.get(index));
     }
     changes.subList(0, index).clear();
-    compactedRevision = Math.max(compactedRevision, Math.min(upTo, revision));
+    compactedRevision = Math.max(compactedRevision, Math.min(newCompactedRevision, revision));
   }
 
   /** Rebuilds the state at a revision that is not compacted. */
-  NavigableMap<String, VersionedValue<V>> stateAt(long wantedRevision) {
-    if (wantedRevision == revision) {
+  NavigableMap<String, VersionedValue<V>> stateAt(long targetRevision) {
+    if (targetRevision == revision) {
       return current;
     }
     TreeMap<String, VersionedValue<V>> state = new TreeMap<>(compactedState);
     for (Change<V> change : changes) {
-      if (change.revision > wantedRevision) {
+      if (change.revision > targetRevision) {
         break;
       }
       apply(state, change);
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
@@ -34,7 +34,7 @@
    * previous one on the same port is still closing: the new server would share the closing one's
    * socket, accept connections, and then have no event loop to handle them.
    */
-  private Future<Void> closing = Future.succeededFuture();
+  private Future<Void> previousServerClosed = Future.succeededFuture();
 
   private int port;
   private EndpointBehavior behavior = EndpointBehavior.ANSWERS;
@@ -81,13 +81,14 @@
 
   /** Sets the fault mode; modes other than ANSWERS and SILENT break open connections. */
   public void setBehavior(EndpointBehavior newBehavior) {
-    EndpointBehavior before = behavior;
+    EndpointBehavior previousBehavior = behavior;
     behavior = newBehavior;
     healthySinceNanos = System.nanoTime();
-    if (before == EndpointBehavior.REFUSES && newBehavior != EndpointBehavior.REFUSES) {
+    if (previousBehavior == EndpointBehavior.REFUSES && newBehavior != EndpointBehavior.REFUSES) {
       listenOnceClosed();
-    } else if (newBehavior == EndpointBehavior.REFUSES && before != EndpointBehavior.REFUSES) {
-      closing = server.close();
+    } else if (newBehavior == EndpointBehavior.REFUSES
+        && previousBehavior != EndpointBehavior.REFUSES) {
+      previousServerClosed = server.close();
       breakConnections();
     } else if (newBehavior == EndpointBehavior.UNAVAILABLE
         || newBehavior == EndpointBehavior.UNAUTHORISED) {
@@ -97,10 +98,10 @@
   }
 
   private void listenOnceClosed() {
-    Future<Void> awaited = closing;
-    awaited.onComplete(
+    Future<Void> awaitedClose = previousServerClosed;
+    awaitedClose.onComplete(
         closed -> {
-          if (awaited == closing && behavior != EndpointBehavior.REFUSES) {
+          if (awaitedClose == previousServerClosed && behavior != EndpointBehavior.REFUSES) {
             listen();
           }
         });
@@ -114,7 +115,7 @@
 
   /** Closes all connections; open watch streams end with an incomplete line. */
   public void breakConnections() {
-    List.copyOf(watches).forEach(EtcdWatchStream::breakLine);
+    List.copyOf(watches).forEach(EtcdWatchStream::writeIncompleteLine);
     watches.clear();
     List.copyOf(connections).forEach(HttpConnection::close);
   }
@@ -126,16 +127,16 @@
     ended.forEach(EtcdWatchStream::end);
   }
 
-  void opened(EtcdWatchStream watch) {
+  void addWatch(EtcdWatchStream watch) {
     watches.add(watch);
   }
 
-  void closed(EtcdWatchStream watch) {
+  void removeWatch(EtcdWatchStream watch) {
     watches.remove(watch);
   }
 
   /** Whether the endpoint sends changes on a watch now: it answers, and the watch is open. */
-  boolean sendsTo(EtcdWatchStream watch) {
+  boolean canSendTo(EtcdWatchStream watch) {
     return behavior == EndpointBehavior.ANSWERS && watches.contains(watch);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -23,7 +23,7 @@
   private final RegistryView view;
   private final WatchSession session;
   private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
-  private long nextWakeNanos = Long.MAX_VALUE;
+  private long scheduledTickNanos = Long.MAX_VALUE;
 
   VirtualClient(
       VirtualRegistry registry, RegistryView view, int maxKeys, long seed, Consumer<String> log) {
@@ -40,7 +40,7 @@
                 registry.isBlocking() ? BLOCKING_READ_NANOS : 0,
                 seed),
             log);
-    registry.added(this);
+    registry.addClient(this);
   }
 
   RegistryView view() {
@@ -56,11 +56,11 @@
     scheduleTick();
   }
 
-  void opened(long callId, PendingCall call) {
+  void addCall(long callId, PendingCall call) {
     pendingCalls.put(callId, call);
   }
 
-  boolean closed(long callId, PendingCall call) {
+  boolean removeCall(long callId, PendingCall call) {
     return pendingCalls.remove(callId, call);
   }
 
@@ -78,13 +78,13 @@
    */
   void scheduleTick() {
     long dueNanos = session.nextTickNanos();
-    if (dueNanos < nextWakeNanos) {
-      nextWakeNanos = dueNanos;
+    if (dueNanos < scheduledTickNanos) {
+      scheduledTickNanos = dueNanos;
       scheduler.schedule(
           dueNanos,
           () -> {
-            if (nextWakeNanos == dueNanos) {
-              nextWakeNanos = Long.MAX_VALUE;
+            if (scheduledTickNanos == dueNanos) {
+              scheduledTickNanos = Long.MAX_VALUE;
               session.tick(scheduler.nowNanos());
               scheduleTick();
             }
@@ -93,10 +93,10 @@
   }
 
   /** Completes a call with all current entries, delayed by the lag of its endpoint. */
-  void answerAll(PendingCall call) {
+  void answerWithAllEntries(PendingCall call) {
     List<RegistryEntry> entries = registry.entries(registry.history().current(), "", 0);
     Header header = registry.header();
-    registry.itemsSent(entries.size());
+    registry.recordEntriesSent(entries.size());
     call.atClient(
         call.endpoint().lagNanos(),
         () -> {
@@ -123,14 +123,16 @@
             + revision
             + " since "
             + minModRevision);
-    PendingCall continued = pendingCalls.get(callId);
+    PendingCall existingCall = pendingCalls.get(callId);
     PendingCall call =
-        continued == null ? new PendingCall(registry, this, callId, endpointIndex) : continued;
+        existingCall == null
+            ? new PendingCall(registry, this, callId, endpointIndex)
+            : existingCall;
     call.atEndpoint(
         () -> {
           RevisionedStore<RegistryRecord> history = registry.history();
           if (registry.isBlocking()) {
-            answerAll(call);
+            answerWithAllEntries(call);
           } else if ((revision != 0 && revision < history.compactedRevision())
               || revision > history.revision()) {
             call.answerCompacted();
@@ -145,15 +147,15 @@
     RevisionedStore<RegistryRecord> history = registry.history();
     Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state =
         history.stateAt(revision == 0 ? history.revision() : revision);
-    List<RegistryEntry> found = registry.entries(state, afterKey, minModRevision);
+    List<RegistryEntry> matchingEntries = registry.entries(state, afterKey, minModRevision);
     long count =
         state.keySet().stream()
             .filter(key -> key.startsWith(VirtualRegistry.PREFIX) && key.compareTo(afterKey) > 0)
             .count();
-    boolean hasMore = found.size() > limit;
-    List<RegistryEntry> page = hasMore ? found.subList(0, limit) : found;
+    boolean hasMore = matchingEntries.size() > limit;
+    List<RegistryEntry> page = hasMore ? matchingEntries.subList(0, limit) : matchingEntries;
     Header header = registry.header();
-    registry.itemsSent(page.size());
+    registry.recordEntriesSent(page.size());
     // Revision 0 reads the latest state that a majority holds: a lagging endpoint answers it only
     // once it has caught up. A read at a given revision is answered without that delay.
     call.atClient(
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
@@ -24,7 +24,7 @@
   private long healthySinceNanos;
 
   /** The time until which clients whose credentials were rejected may wait before they retry. */
-  private long excusedUntilNanos;
+  private long unauthorisedRetryUntilNanos;
 
   private long callCount;
 
@@ -53,15 +53,15 @@
     return callCount;
   }
 
-  void callMade() {
+  void recordCall() {
     callCount++;
   }
 
-  void opened(PendingCall call) {
+  void addCall(PendingCall call) {
     pendingCalls.add(call);
   }
 
-  void closed(PendingCall call) {
+  void removeCall(PendingCall call) {
     pendingCalls.remove(call);
   }
 
@@ -79,14 +79,16 @@
     registry.trace(index() + " becomes " + newBehavior);
     // A client whose credentials were rejected waits before it calls again.
     if (newBehavior == EndpointBehavior.UNAUTHORISED) {
-      excusedUntilNanos = NEVER;
+      unauthorisedRetryUntilNanos = NEVER;
     } else if (behavior == EndpointBehavior.UNAUTHORISED) {
-      excusedUntilNanos = scheduler.nowNanos() + UNAUTHORISED_RETRY_NANOS;
+      unauthorisedRetryUntilNanos = scheduler.nowNanos() + UNAUTHORISED_RETRY_NANOS;
     }
     behavior = newBehavior;
     if (behavior == EndpointBehavior.ANSWERS) {
       healthySinceNanos =
-          lagNanos + slownessNanos > 0 ? NEVER : Math.max(scheduler.nowNanos(), excusedUntilNanos);
+          lagNanos + slownessNanos > 0
+              ? NEVER
+              : Math.max(scheduler.nowNanos(), unauthorisedRetryUntilNanos);
       List<Runnable> released = List.copyOf(heldTasks);
       heldTasks.clear();
       released.forEach(Runnable::run);
@@ -109,7 +111,7 @@
     if (lagNanos + slownessNanos > 0) {
       healthySinceNanos = NEVER;
     } else if (healthySinceNanos == NEVER) {
-      healthySinceNanos = Math.max(scheduler.nowNanos(), excusedUntilNanos);
+      healthySinceNanos = Math.max(scheduler.nowNanos(), unauthorisedRetryUntilNanos);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -35,7 +35,7 @@
   private final List<VirtualEndpoint> endpoints = new ArrayList<>();
   private final List<VirtualClient> clients = new ArrayList<>();
   private RevisionedStore<RegistryRecord> history = new RevisionedStore<>("c1");
-  private long sentItems;
+  private long sentEntryCount;
   private long responseCount;
 
   VirtualRegistry(
@@ -75,7 +75,7 @@
 
   /** Total number of entries and events sent to clients. */
   long sentItems() {
-    return sentItems;
+    return sentEntryCount;
   }
 
   /** Total number of responses and watch frames delivered to clients. */
@@ -83,15 +83,15 @@
     return responseCount;
   }
 
-  void itemsSent(int count) {
-    sentItems += count;
+  void recordEntriesSent(int count) {
+    sentEntryCount += count;
   }
 
-  void responseSent() {
+  void recordResponseSent() {
     responseCount++;
   }
 
-  void added(VirtualClient client) {
+  void addClient(VirtualClient client) {
     clients.add(client);
   }
 
@@ -118,7 +118,7 @@
     endpoints.forEach(VirtualEndpoint::breakConnections);
   }
 
-  long drawOneWayNanos() {
+  long randomOneWayDelayNanos() {
     return random.nextLong(MIN_ONE_WAY_NANOS, MAX_ONE_WAY_NANOS);
   }
 
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -121,14 +121,14 @@
   }
 
   private RegistrySettings settings(
-      ProtocolKind form, Path trust, Path token, String user, Path password, Path snapshot) {
-    List<SocketAddress> all =
+      ProtocolKind protocol, Path trust, Path token, String user, Path password, Path snapshot) {
+    List<SocketAddress> addresses =
         registry.endpoints().stream()
             .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
             .toList();
     return new RegistrySettings(
-        form,
-        all,
+        protocol,
+        addresses,
         PREFIX,
         trust,
         null,
@@ -144,8 +144,8 @@
         1 << 20);
   }
 
-  private RegistrySettings plain(ProtocolKind form) {
-    return settings(form, null, null, null, null, null);
+  private RegistrySettings defaultSettings(ProtocolKind protocol) {
+    return settings(protocol, null, null, null, null, null);
   }
 
   private void start(RegistrySettings settings) throws Exception {
@@ -172,19 +172,20 @@
     callOnLoop(() -> registry.write(writes));
   }
 
-  private Boolean is(String id, EndpointState state) {
+  private Boolean hasState(String id, EndpointState state) {
     return recordedList.endpointStates().get(id) == state;
   }
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void changesAreAppliedAcrossBrokenConnectionsAndCompaction(ProtocolKind form) throws Exception {
+  void changesAreAppliedAcrossBrokenConnectionsAndCompaction(ProtocolKind protocol)
+      throws Exception {
     openEndpoints(2);
     put("a", EndpointState.UP);
-    start(plain(form));
-    await(() -> is("a", EndpointState.UP));
+    start(defaultSettings(protocol));
+    await(() -> hasState("a", EndpointState.UP));
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING));
+    await(() -> hasState("a", EndpointState.DRAINING));
     callOnLoop(
         () -> {
           registry.endpoints().forEach(StandInEndpoint::breakConnections);
@@ -197,7 +198,7 @@
           registry.compact(0);
           return null;
         });
-    await(() -> is("b", EndpointState.UP) && is("a", null));
+    await(() -> hasState("b", EndpointState.UP) && hasState("a", null));
     callOnLoop(
         () -> {
           registry.write(
@@ -205,16 +206,16 @@
           return null;
         });
     put("c", EndpointState.UP);
-    await(() -> is("c", EndpointState.UP) && is("bad", null));
+    await(() -> hasState("c", EndpointState.UP) && hasState("bad", null));
   }
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void drainIsAppliedInTimeWhenBothWatchesFallSilent(ProtocolKind form) throws Exception {
+  void drainIsAppliedInTimeWhenBothWatchesStopResponding(ProtocolKind protocol) throws Exception {
     openEndpoints(3);
     put("a", EndpointState.UP);
-    start(plain(form));
-    await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 2);
+    start(defaultSettings(protocol));
+    await(() -> hasState("a", EndpointState.UP) && source.status().watchCount() == 2);
     // A fixed sleep, because the elapsed time is what matters: both watches must have been steady
     // for
     // longer than the session requires before it relies on an endpoint.
@@ -229,14 +230,14 @@
         });
     long writtenAtNanos = System.nanoTime();
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING));
+    await(() -> hasState("a", EndpointState.DRAINING));
     long appliedAfterMillis = (System.nanoTime() - writtenAtNanos) / 1_000_000;
     assertTrue(
         appliedAfterMillis < 600, appliedAfterMillis + " ms, a loaded machine's time included");
   }
 
   @Test
-  void expiredTokenIsReadAgainAndNoSecretIsLogged() throws Exception {
+  void expiredTokenIsRereadAndNoSecretIsLogged() throws Exception {
     openEndpoints(1);
     Path token = folder.resolve("token");
     Files.writeString(token, SECRET + "-1\n");
@@ -247,7 +248,7 @@
         });
     put("a", EndpointState.UP);
     start(settings(ProtocolKind.ETCD, null, token, null, null, null));
-    await(() -> is("a", EndpointState.UP));
+    await(() -> hasState("a", EndpointState.UP));
     Files.writeString(token, SECRET + "-2\n");
     callOnLoop(
         () -> {
@@ -256,7 +257,7 @@
           return null;
         });
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING));
+    await(() -> hasState("a", EndpointState.DRAINING));
     callOnLoop(
         () -> {
           registry.requireToken(SECRET + "-3");
@@ -279,14 +280,14 @@
         });
     put("a", EndpointState.UP);
     start(settings(ProtocolKind.ETCD, null, null, "reader", password, null));
-    await(() -> is("a", EndpointState.UP));
+    await(() -> hasState("a", EndpointState.UP));
     assertFalse(logged.toString().contains(SECRET));
   }
 
   /** Creates a key and a certificate for 127.0.0.1 with the JDK's keytool, as PEM files. */
-  private PemKeyCertOptions certificate(String name) throws Exception {
+  private PemKeyCertOptions createCertificate(String name) throws Exception {
     Path store = folder.resolve(name + ".p12");
-    Process made =
+    Process keytool =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
                 "-genkeypair",
@@ -306,25 +307,26 @@
                 "SAN=IP:127.0.0.1")
             .inheritIO()
             .start();
-    assertEquals(0, made.waitFor());
+    assertEquals(0, keytool.waitFor());
     KeyStore keys = KeyStore.getInstance(store.toFile(), "password".toCharArray());
     Key key = keys.getKey("a", "password".toCharArray());
-    Path certificate = pem(name + ".crt", "CERTIFICATE", keys.getCertificate("a").getEncoded());
-    Path secret = pem(name + ".key", "PRIVATE KEY", key.getEncoded());
+    Path certificate =
+        writePem(name + ".crt", "CERTIFICATE", keys.getCertificate("a").getEncoded());
+    Path privateKey = writePem(name + ".key", "PRIVATE KEY", key.getEncoded());
     return new PemKeyCertOptions()
         .setCertPath(certificate.toString())
-        .setKeyPath(secret.toString());
+        .setKeyPath(privateKey.toString());
   }
 
-  private Path pem(String name, String what, byte[] bytes) throws IOException {
+  private Path writePem(String name, String label, byte[] bytes) throws IOException {
     return Files.writeString(
         folder.resolve(name),
         "-----BEGIN "
-            + what
+            + label
             + "-----\n"
             + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes)
             + "\n-----END "
-            + what
+            + label
             + "-----\n");
   }
 
@@ -332,9 +334,10 @@
   void serverIsTrustedOnceItsCertificateIsInTheTrustFile() throws Exception {
     registry =
         new StandInRegistry(
-            vertx, new HttpServerOptions().setSsl(true).setKeyCertOptions(certificate("one")));
+            vertx,
+            new HttpServerOptions().setSsl(true).setKeyCertOptions(createCertificate("one")));
     openEndpoints(1);
-    certificate("other");
+    createCertificate("other");
     Path trust = Files.copy(folder.resolve("other.crt"), folder.resolve("trust.pem"));
     put("a", EndpointState.UP);
     start(settings(ProtocolKind.ETCD, trust, null, null, null, null));
@@ -346,7 +349,7 @@
           source.reload();
           return null;
         });
-    await(() -> is("a", EndpointState.UP));
+    await(() -> hasState("a", EndpointState.UP));
     // Reading the files again does not affect an open watch.
     callOnLoop(
         () -> {
@@ -354,13 +357,13 @@
           return null;
         });
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING));
+    await(() -> hasState("a", EndpointState.DRAINING));
   }
 
   @Test
-  void clientCertificateIsShownToServerThatRequiresOne() throws Exception {
-    PemKeyCertOptions server = certificate("server");
-    certificate("client");
+  void clientCertificateIsPresentedToServerThatRequiresOne() throws Exception {
+    PemKeyCertOptions server = createCertificate("server");
+    createCertificate("client");
     registry =
         new StandInRegistry(
             vertx,
@@ -391,25 +394,25 @@
             600 * NANOS_PER_SECOND,
             1000,
             1 << 20));
-    await(() -> is("a", EndpointState.UP));
+    await(() -> hasState("a", EndpointState.UP));
     try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, without)) {
       assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(adminClient.list()));
     }
   }
 
   @Test
-  void watchThatServerEndsIsOpenedAgain() throws Exception {
+  void watchEndedByServerIsReopened() throws Exception {
     openEndpoints(1);
     put("a", EndpointState.UP);
-    start(plain(ProtocolKind.ETCD));
-    await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 1);
+    start(defaultSettings(ProtocolKind.ETCD));
+    await(() -> hasState("a", EndpointState.UP) && source.status().watchCount() == 1);
     callOnLoop(
         () -> {
           registry.endpoints().get(0).endWatches();
           return null;
         });
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING) && source.status().watchCount() == 1);
+    await(() -> hasState("a", EndpointState.DRAINING) && source.status().watchCount() == 1);
   }
 
   @Test
@@ -428,7 +431,7 @@
     recordedList.endpointListStarted(EndpointListKind.FULL);
     recordedList.endpointListCompleted();
     start(settings(ProtocolKind.ETCD, null, null, null, null, file));
-    await(() -> is("a", EndpointState.UP));
+    await(() -> hasState("a", EndpointState.UP));
     assertTrue(
         callOnLoop(
             () -> source.status().ageNanos() > 0 && source.status().phase() != Phase.CURRENT));
@@ -438,16 +441,17 @@
           registry.endpoints().get(0).setBehavior(EndpointBehavior.ANSWERS);
           return null;
         });
-    await(() -> is("a", EndpointState.DRAINING));
+    await(() -> hasState("a", EndpointState.DRAINING));
   }
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void writeFailsIfKeyWasChangedMeanwhile(ProtocolKind form) throws Exception {
+  void writeFailsIfKeyWasModifiedConcurrently(ProtocolKind protocol) throws Exception {
     openEndpoints(1);
     put("a", EndpointState.UP);
-    try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, plain(form))) {
-      long seen =
+    try (RegistryAdminClient adminClient =
+        new RegistryAdminClient(vertx, defaultSettings(protocol))) {
+      long listedRevision =
           EventLoopWaiter.await(adminClient.list()).stream()
               .filter(one -> one.key().endsWith("/a"))
               .findFirst()
@@ -458,7 +462,7 @@
           new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, EndpointState.UP, 1, 0);
       assertFalse(
           EventLoopWaiter.await(
-              adminClient.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
+              adminClient.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, listedRevision)));
       long tip = callOnLoop(() -> registry.revision());
       assertTrue(
           EventLoopWaiter.await(
@@ -480,7 +484,7 @@
           return null;
         });
     try (RegistryAdminClient adminClient =
-        new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
+        new RegistryAdminClient(vertx, defaultSettings(ProtocolKind.ETCD))) {
       ExecutionException e =
           assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(adminClient.list()));
       assertTrue(
