--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -87,9 +87,10 @@
   @Override
   public synchronized void endpointListStarted(EndpointListKind kind) {
     if (listing) {
-      violation.accept("a listing within a listing");
+      violation.accept("endpoint listing started before the previous listing completed");
     }
-    trace.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
+    trace.accept(
+        kind == EndpointListKind.FULL ? "full listing started" : "incremental listing started");
     listing = true;
     fullListing = kind == EndpointListKind.FULL;
     changedSinceCheck = true;
@@ -117,10 +118,10 @@
             endpoint.startedAtMillis());
     if (endpoint.state() == EndpointState.GONE) {
       if (caches.remove(endpoint.id()) == null) {
-        violation.accept(endpoint.id() + " is told gone, and was not there");
+        violation.accept("endpoint " + endpoint.id() + " reported as GONE but was not listed");
       }
     } else if (cache.equals(caches.put(endpoint.id(), cache)) && !fullListing) {
-      violation.accept(endpoint.id() + " is told twice");
+      violation.accept("endpoint " + endpoint.id() + " listed again without a change");
     }
     if (downstream != null) {
       downstream.endpointListed(endpoint);
@@ -137,13 +138,13 @@
 
   @Override
   public synchronized void objectPurged(long object, int group, long atMillis) {
-    trace.accept("told purge of " + object + ", group " + group);
+    trace.accept("purge reported: object " + object + ", group " + group);
     if (group == ALL_GROUPS) {
       allPurgedAtNanos = clock.getAsLong();
     } else if (purgedInThisHistory.add(object) || repeatedPurgesAllowed) {
       purgedAtNanos.put(object, clock.getAsLong());
     } else {
-      violation.accept("purge " + object + " is told twice");
+      violation.accept("purge of object " + object + " reported twice");
     }
     if (downstream != null) {
       downstream.objectPurged(object, group, atMillis);
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -158,7 +158,13 @@
     }
     if (firstSeen && afterNanos > MAX_DRAIN_NANOS && gatewayMustBeCurrent()) {
       violation(
-          "a GET came to " + cache + " " + afterNanos / NANOS_PER_MILLI + " ms after its drain");
+          "cache "
+              + cache
+              + " received a GET "
+              + afterNanos / NANOS_PER_MILLI
+              + " ms after its drain, allowed "
+              + MAX_DRAIN_NANOS / NANOS_PER_MILLI
+              + " ms");
     }
   }
 
@@ -177,9 +183,9 @@
       violation(
           "object "
               + response.object()
-              + " from "
+              + " with a copy issued "
               + (purgedAt - response.issuedAtMillis())
-              + " ms before its purge was returned "
+              + " ms before its purge was returned to a request sent "
               + (sentAtMillis - purgedAt)
               + " ms after it");
     }
@@ -201,9 +207,9 @@
     Map<String, EndpointState> gatewayStates = recordedList.endpointStates();
     if (!registryStates.equals(gatewayStates)) {
       violation(
-          "quiet, the registry holds "
+          "after the quiet period the registry holds "
               + registryStates
-              + " and the gateway was told "
+              + " but the gateway's listed endpoints are "
               + gatewayStates);
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -123,11 +123,11 @@
         && (client.view().appliedRevision() < lastRevisionOfPrefix()
             || !matches(expectedStates.get(expectedStates.size() - 1)))) {
       throw new InvariantViolation(
-          "quiet, but the view is at "
+          "the view is stale after the quiet period: applied revision "
               + client.view().appliedRevision()
-              + " of "
+              + ", registry revision "
               + registry.history().revision()
-              + ": "
+              + ", session phase "
               + client.session().phase());
     }
     return Map.of(
@@ -184,9 +184,9 @@
         return;
       }
     }
-    simulation.trace("told: " + recordedList.caches());
+    simulation.trace("listed caches: " + recordedList.caches());
     throw new InvariantViolation(
-        "what was told is no state of the registry at revision " + revision);
+        "the listed caches match no state of the registry at applied revision " + revision);
   }
 
   private boolean isLastUpTo(long revision, int index) {
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryReconnectLoad.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryReconnectLoad.java
@@ -79,9 +79,9 @@
         .figure("herd_dearest_calls_in_100_ms_an_endpoint", peakCalls)
         .figure("herd_steady_calls_in_100_ms_an_endpoint", steadyCalls)
         .figure("herd_all_current_ms", allCurrentAfterNanos / Simulation.NANOS_PER_MILLI)
-        .bar("no herd: under a call a client in the dearest 100 ms", peakCalls < CLIENTS)
+        .bar("reconnect peak in 100 ms: fewer calls an endpoint than clients", peakCalls < CLIENTS)
         .bar(
-            "all current within 2 s of the return",
+            "all clients current within 2 s after the outage",
             allCurrentAfterNanos > 0 && allCurrentAfterNanos <= MAX_CURRENT_NANOS);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
@@ -132,7 +132,7 @@
       writes.put(VirtualRegistry.TIP_KEY, new RegistryRecord.Other());
     }
     registry.write(writes);
-    simulation.trace("written as " + registry.history().revision() + ": " + writes);
+    simulation.trace("written at revision " + registry.history().revision() + ": " + writes);
     model.recordExpectedState();
   }
 
@@ -182,7 +182,13 @@
     }
     if (model.viewMustBeCurrent() && !model.isRestoring()) {
       throw new InvariantViolation(
-          "purge " + object + " of " + purgedAtNanos + " not told by " + simulation.nowNanos());
+          "purge of object "
+              + object
+              + " written at "
+              + purgedAtNanos
+              + " ns, not reported by "
+              + simulation.nowNanos()
+              + " ns");
     }
     if (simulation.nowNanos()
         < simulation.faultsUntilNanos() + RegistryModel.QUIET_PERIOD_NANOS - MAX_PURGE_NANOS) {
@@ -213,17 +219,17 @@
     }
     if (model.viewMustBeCurrent()) {
       throw new InvariantViolation(
-          "drain of "
+          "drain of cache "
               + id
               + " at revision "
               + revision
-              + ", "
+              + ", written at "
               + drainedAtNanos
-              + ", view at "
+              + " ns, not applied: applied revision "
               + client.view().appliedRevision()
-              + " by "
+              + " at "
               + simulation.nowNanos()
-              + ": "
+              + " ns, session phase "
               + client.session().phase());
     }
     simulation.after(
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -117,11 +117,11 @@
     registry.trace(
         "call "
             + callId
-            + ": list at "
+            + ": list at endpoint "
             + endpointIndex
-            + " revision "
+            + ", revision "
             + revision
-            + " since "
+            + ", minimum mod revision "
             + minModRevision);
     PendingCall existingCall = pendingCalls.get(callId);
     PendingCall call =
@@ -169,7 +169,13 @@
 
   @Override
   public void watch(long callId, int endpointIndex, long fromRevision) {
-    registry.trace("call " + callId + ": watch at " + endpointIndex + " from " + fromRevision);
+    registry.trace(
+        "call "
+            + callId
+            + ": watch at endpoint "
+            + endpointIndex
+            + " from revision "
+            + fromRevision);
     PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
     call.atEndpoint(
         () -> {
@@ -202,7 +208,7 @@
 
   @Override
   public void heartbeat(long callId, int endpointIndex) {
-    registry.trace("call " + callId + ": pulse at " + endpointIndex);
+    registry.trace("call " + callId + ": heartbeat at endpoint " + endpointIndex);
     PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
     call.atEndpoint(
         () -> {
@@ -223,7 +229,7 @@
 
   @Override
   public void cancel(long callId) {
-    registry.trace("call " + callId + ": dropped");
+    registry.trace("call " + callId + ": cancelled");
     PendingCall cancelled = pendingCalls.get(callId);
     if (cancelled != null) {
       cancelled.complete();
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
@@ -76,7 +76,7 @@
 
   /** Sets the fault mode; modes other than ANSWERS and SILENT break all connections. */
   void setBehavior(EndpointBehavior newBehavior) {
-    registry.trace(index() + " becomes " + newBehavior);
+    registry.trace("endpoint " + index() + ": behavior set to " + newBehavior);
     // A client whose credentials were rejected waits before it calls again.
     if (newBehavior == EndpointBehavior.UNAUTHORISED) {
       unauthorisedRetryUntilNanos = NEVER;
@@ -100,10 +100,11 @@
   /** Sets the lag of reads and watch events, and the slowness of all responses. */
   void setDelays(long newLagNanos, long newSlownessNanos) {
     registry.trace(
-        index()
-            + " lags "
+        "endpoint "
+            + index()
+            + ": lag "
             + newLagNanos / Simulation.NANOS_PER_MILLI
-            + " ms, is slower by "
+            + " ms, extra response delay "
             + newSlownessNanos / Simulation.NANOS_PER_MILLI
             + " ms");
     lagNanos = newLagNanos;
@@ -128,7 +129,7 @@
 
   /** Breaks all connections; clients can open new ones. */
   void breakConnections() {
-    registry.trace(index() + " is cut");
+    registry.trace("endpoint " + index() + ": connections broken");
     heldTasks.clear();
     for (PendingCall call : List.copyOf(pendingCalls)) {
       call.breakConnection();
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -114,7 +114,7 @@
   /** Replaces the history by a backup, which discards later writes, and breaks all connections. */
   void restore(RevisionedStore<RegistryRecord> backup) {
     history = backup;
-    trace("restored to " + backup.clusterId() + " " + backup.revision());
+    trace("restored: cluster " + backup.clusterId() + ", revision " + backup.revision());
     endpoints.forEach(VirtualEndpoint::breakConnections);
   }
 
