--- a/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
@@ -4,16 +4,16 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** One watch of etcd's API: a stream of lines, each with events. */
+/** One watch stream of etcd's JSON API: a chunked response with one JSON object a line. */
 final class EtcdWatchStream {
-  /** Events of one line; more of one revision go in two. */
+  /** Events in the first line, a fragment; the remaining events follow in a second line. */
   private static final int MAX_EVENTS_IN_FIRST_LINE = 2;
 
   private final StandInRegistry registry;
   private final StandInEndpoint endpoint;
   private final HttpServerResponse response;
-  private final String from;
-  private final String end;
+  private final String startKey;
+  private final String rangeEnd;
   private long nextRevision;
 
   EtcdWatchStream(
@@ -24,12 +24,12 @@
     this.registry = registry;
     this.endpoint = endpoint;
     this.response = response;
-    from = JsonResponses.text(createRequest, "key");
-    end = JsonResponses.text(createRequest, "range_end");
+    startKey = JsonResponses.text(createRequest, "key");
+    rangeEnd = JsonResponses.text(createRequest, "range_end");
     nextRevision = JsonResponses.number(createRequest, "start_revision");
   }
 
-  /** Sends the head and what there is, or that the revision is compacted. */
+  /** Confirms the watch and sends existing changes, or cancels it if its revision is compacted. */
   void open() {
     response.setChunked(true);
     writeLine(newResult().put("created", true));
@@ -42,17 +42,17 @@
       response.end();
       return;
     }
-    endpoint.opened(this);
-    response.closeHandler(closed -> endpoint.closed(this));
+    endpoint.addWatch(this);
+    response.closeHandler(closed -> endpoint.removeWatch(this));
     sendChanges();
   }
 
-  /** Leaves the stream amid a line. */
-  void breakLine() {
+  /** Writes an incomplete line. */
+  void writeIncompleteLine() {
     response.write("{\"result\":{\"header\":{\"clus");
   }
 
-  /** Ends the stream in good order. */
+  /** Ends the response properly. */
   void end() {
     response.end();
   }
@@ -65,15 +65,15 @@
     response.write(new JsonObject().put("result", result).encode() + "\n");
   }
 
-  /** Sends what is new. */
+  /** Sends the changes that this watch has not sent yet, if the endpoint sends on it now. */
   void sendChanges() {
-    if (!endpoint.sendsTo(this)) {
+    if (!endpoint.canSendTo(this)) {
       return;
     }
     JsonArray events = new JsonArray();
     for (RevisionedStore.Change<byte[]> change :
         registry.history().changesBetween(nextRevision, registry.revision())) {
-      if (change.key().compareTo(from) >= 0 && change.key().compareTo(end) < 0) {
+      if (change.key().compareTo(startKey) >= 0 && change.key().compareTo(rangeEnd) < 0) {
         events.add(event(change));
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -13,7 +13,11 @@
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ListedEndpoint;
 
-/** Keeps the caches as a registry's view has listed them, and reports what no view may do. */
+/**
+ * Endpoint listener that records the caches that a registry view has listed, and reports
+ * violations: nested listings, a removal of a cache that is not listed, an unchanged cache that an
+ * incremental listing repeats, and a repeated purge.
+ */
 final class RecordedEndpointList implements EndpointListener {
   private final LongSupplier clock;
   private final Consumer<String> trace;
@@ -26,7 +30,7 @@
   private long listingCount;
   private boolean listing;
   private boolean fullListing;
-  private boolean changedSinceTaken;
+  private boolean changedSinceCheck;
   private boolean repeatedPurgesAllowed;
 
   RecordedEndpointList(LongSupplier clock, Consumer<String> trace, Consumer<String> violation) {
@@ -35,24 +39,24 @@
     this.violation = violation;
   }
 
-  /** One object may be purged more than once. */
+  /** Allows several purges of one object without a violation. */
   RecordedEndpointList allowRepeatedPurges() {
     repeatedPurgesAllowed = true;
     return this;
   }
 
-  /** Passes all on to another listener too. */
+  /** Forwards every event to another listener. */
   RecordedEndpointList forwardingTo(EndpointListener listener) {
     downstream = listener;
     return this;
   }
 
-  /** The caches as they are listed now; only for the thread of the view. */
+  /** The caches that are listed now, by id; only for the view's thread. */
   Map<String, RegistryRecord.Cache> caches() {
     return caches;
   }
 
-  /** The state of each cache; for any thread. */
+  /** The state of each listed cache, by id; callable from any thread. */
   synchronized Map<String, EndpointState> endpointStates() {
     Map<String, EndpointState> states = new TreeMap<>();
     caches.forEach((id, cache) -> states.put(id, cache.state()));
@@ -63,10 +67,10 @@
     return listingCount;
   }
 
-  /** Whether a list has begun since this was called last. */
-  boolean takeChanged() {
-    boolean changedBefore = changedSinceTaken;
-    changedSinceTaken = false;
+  /** Whether a listing has started since the previous call of this method. */
+  boolean checkAndClearChanged() {
+    boolean changedBefore = changedSinceCheck;
+    changedSinceCheck = false;
     return changedBefore;
   }
 
@@ -75,7 +79,7 @@
         || allPurgedAtNanos >= sinceNanos;
   }
 
-  /** The registry has been restored: purges that it holds may come again. */
+  /** Resets duplicate detection after a restore: purges that the registry holds may be repeated. */
   void historyReplaced() {
     purgedInThisHistory.clear();
   }
@@ -83,12 +87,13 @@
   @Override
   public synchronized void endpointListStarted(EndpointListKind kind) {
     if (listing) {
-      violation.accept("a listing within a listing");
+      violation.accept("endpoint listing started before the previous listing completed");
     }
-    trace.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
+    trace.accept(
+        kind == EndpointListKind.FULL ? "full listing started" : "incremental listing started");
     listing = true;
     fullListing = kind == EndpointListKind.FULL;
-    changedSinceTaken = true;
+    changedSinceCheck = true;
     listingCount++;
     if (kind == EndpointListKind.FULL) {
       caches.clear();
@@ -113,10 +118,10 @@
             endpoint.startedAtMillis());
     if (endpoint.state() == EndpointState.GONE) {
       if (caches.remove(endpoint.id()) == null) {
-        violation.accept(endpoint.id() + " is told gone, and was not there");
+        violation.accept("endpoint " + endpoint.id() + " reported as GONE but was not listed");
       }
     } else if (cache.equals(caches.put(endpoint.id(), cache)) && !fullListing) {
-      violation.accept(endpoint.id() + " is told twice");
+      violation.accept("endpoint " + endpoint.id() + " listed again without a change");
     }
     if (downstream != null) {
       downstream.endpointListed(endpoint);
@@ -133,13 +138,13 @@
 
   @Override
   public synchronized void objectPurged(long object, int group, long atMillis) {
-    trace.accept("told purge of " + object + ", group " + group);
+    trace.accept("purge reported: object " + object + ", group " + group);
     if (group == ALL_GROUPS) {
       allPurgedAtNanos = clock.getAsLong();
     } else if (purgedInThisHistory.add(object) || repeatedPurgesAllowed) {
       purgedAtNanos.put(object, clock.getAsLong());
     } else {
-      violation.accept("purge " + object + " is told twice");
+      violation.accept("purge of object " + object + " reported twice");
     }
     if (downstream != null) {
       downstream.objectPurged(object, group, atMillis);
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -10,10 +10,11 @@
 import org.amberpath.registry.runtime.RegistrySource;
 
 /**
- * A real gateway on sockets while its registry changes several hundred times a minute, compacts,
- * lags, falls silent and disconnects at random, from a seed. What the gateway has applied is held
- * against what the registry holds each time that it is quiet, and what caches and clients saw
- * against the rules.
+ * Fault-injection experiment: a real gateway on loopback sockets whose stand-in registry changes
+ * several hundred times a minute, compacts its history, lags, stops responding and drops
+ * connections, at random times derived from a seed. In each quiet period the endpoints that the
+ * gateway has applied are compared with the registry's contents; the requests that caches receive
+ * and the responses that clients receive are checked against the limits for drains and purges.
  */
 public final class RegistryExperiment {
   private static final int EDGE_CACHES = 8;
@@ -21,12 +22,12 @@
   private static final int CONNECTIONS = 8;
   private static final int REQUESTS_PER_SECOND = 150;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
-  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long RESPONSE_WAIT_MILLIS = 1700;
   private static final long FAULT_PERIOD_MILLIS = 4000;
-  private static final long LAST_FAULT_MILLIS = 1600;
+  private static final long FAULT_EXPIRY_MILLIS = 1600;
   private static final long QUIET_PERIOD_MILLIS = 2500;
 
-  /** Code that has not been compiled yet is slow, which is no fault of what is tried. */
+  /** Load before judging starts, so that the JIT compiler's warm-up does not count as a fault. */
   private static final long WARM_UP_MILLIS = 2500;
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -35,17 +36,17 @@
   private final long seed;
   private final LoopbackTestbed testbed;
   private final RegistryJudge judge;
-  private final RegistryDisturbance disturbance;
+  private final RegistryFaultInjector faultInjector;
   private long quietPeriods;
 
   private RegistryExperiment(long seed) {
     this.seed = seed;
     testbed = new LoopbackTestbed(seed);
     judge = new RegistryJudge(testbed);
-    disturbance = new RegistryDisturbance(testbed, judge, EDGE_CACHES, seed);
+    faultInjector = new RegistryFaultInjector(testbed, judge, EDGE_CACHES, seed);
   }
 
-  /** Runs for so many seconds, and until the registry is quiet. */
+  /** Runs fault periods for at least the given seconds; the last one ends with a quiet period. */
   public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind protocol)
       throws Exception {
     return new RegistryExperiment(seed).run(seconds, protocol);
@@ -79,22 +80,22 @@
       testbed.runOnLoop(() -> judge.start(startedNanos));
       testbed.watchGatewayLoop(RegistryJudge.TICK_MILLIS, judge::gatewayLoopLate);
       do {
-        disturb();
+        runFaultPeriod();
       } while (System.nanoTime() < startedNanos + seconds * NANOS_PER_SECOND);
       testbed.runOnLoop(loadGenerator::stop);
-      Thread.sleep(LAST_ANSWER_MILLIS);
+      Thread.sleep(RESPONSE_WAIT_MILLIS);
       report(loadGenerator, System.nanoTime() - startedNanos, result);
     }
     return result;
   }
 
-  /** Changes and faults for a while, then a quiet time, after which views must be equal. */
-  private void disturb() throws Exception {
-    testbed.runOnLoop(disturbance::start);
+  /** Runs one period of changes and faults, heals them, and compares views after a quiet period. */
+  private void runFaultPeriod() throws Exception {
+    testbed.runOnLoop(faultInjector::start);
     Thread.sleep(FAULT_PERIOD_MILLIS);
-    testbed.runOnLoop(disturbance::stop);
-    Thread.sleep(LAST_FAULT_MILLIS);
-    testbed.runOnLoop(disturbance::heal);
+    testbed.runOnLoop(faultInjector::stop);
+    Thread.sleep(FAULT_EXPIRY_MILLIS);
+    testbed.runOnLoop(faultInjector::heal);
     Thread.sleep(QUIET_PERIOD_MILLIS);
     quietPeriods++;
     testbed.runOnLoop(judge::compareViews);
@@ -106,11 +107,11 @@
     }
     List<String> violations = judge.violations();
     result
-        .figure("changes", disturbance.changeCount())
-        .figure("faults", disturbance.faultCount())
-        .figure("restores", disturbance.restoreCount())
-        .figure("drains", disturbance.drainCount())
-        .figure("purges", disturbance.purgeCount())
+        .figure("changes", faultInjector.changeCount())
+        .figure("faults", faultInjector.faultCount())
+        .figure("restores", faultInjector.restoreCount())
+        .figure("drains", faultInjector.drainCount())
+        .figure("purges", faultInjector.purgeCount())
         .figure("quiet_times", quietPeriods)
         .figure("listings", judge.recordedList().listingCount())
         .figure("last_get_after_drain_ms", judge.worstDrainMillis())
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryDisturbance.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaultInjector.java
@@ -13,10 +13,10 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Changes a stand-in registry and has its endpoints fail, at random times from a seed. Only for the
- * testbed's event loop.
+ * Writes changes to a stand-in registry and injects faults into its endpoints, at random times
+ * derived from a seed. Must be used on the testbed's event loop only.
  */
-final class RegistryDisturbance {
+final class RegistryFaultInjector {
   private static final int CHANGE_KINDS = 8;
   private static final int FAULT_KINDS = 8;
   private static final int OBJECTS = 20;
@@ -48,7 +48,7 @@
   private boolean active;
   private boolean restoring;
 
-  RegistryDisturbance(LoopbackTestbed testbed, RegistryJudge judge, int edgeCaches, long seed) {
+  RegistryFaultInjector(LoopbackTestbed testbed, RegistryJudge judge, int edgeCaches, long seed) {
     this.testbed = testbed;
     this.judge = judge;
     vertx = testbed.vertx();
@@ -57,19 +57,19 @@
     this.edgeCaches = edgeCaches;
   }
 
-  /** Changes and faults go on until it is stopped. */
+  /** Starts writing changes and injecting faults until {@link #stop} is called. */
   void start() {
     active = true;
     change();
     injectFault();
   }
 
-  /** No change or fault begins from now on. */
+  /** Starts no further change or fault; faults that are active stay until their timer ends. */
   void stop() {
     active = false;
   }
 
-  /** Ends all faults that have begun. */
+  /** Clears the lag and the fault mode of all endpoints. */
   void heal() {
     registry
         .endpoints()
@@ -110,8 +110,8 @@
     vertx.setTimer(random.nextLong(MIN_CHANGE_MILLIS, MAX_CHANGE_MILLIS), timer -> change());
   }
 
-  /** Half of the caches stay. */
-  private boolean mayGo(String id) {
+  /** Whether a cache may be drained or deleted: at least half of the caches must stay ready. */
+  private boolean mayRemove(String id) {
     return judge.drainedCount() + absentCaches.size() < edgeCaches / 2 && !judge.isDrained(id);
   }
 
@@ -120,21 +120,21 @@
     String id = "e" + random.nextInt(edgeCaches);
     switch (random.nextInt(CHANGE_KINDS)) {
       case 0, 1, 2 -> {
-        if (mayGo(id) && !absentCaches.contains(id)) {
+        if (mayRemove(id) && !absentCaches.contains(id)) {
           testbed.putCache(id, EndpointState.DRAINING);
           judge.cacheDrained(id);
           drainCount++;
         }
       }
       case 3 -> {
-        if (mayGo(id) && absentCaches.add(id)) {
+        if (mayRemove(id) && absentCaches.add(id)) {
           testbed.deleteCache(id);
         }
       }
       case 4 -> purge(1L + random.nextInt(OBJECTS));
       case 5 ->
           testbed.write(
-              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + RegistryJudge.SPOILT_CACHE,
+              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + RegistryJudge.UNREADABLE_CACHE,
               Optional.of(new byte[] {'{', (byte) random.nextInt(256)}));
       default -> {
         judge.cacheReady(id);
@@ -203,8 +203,8 @@
   }
 
   /**
-   * All endpoints go, and come back with a registry of another id that holds what was backed up
-   * just before.
+   * Makes a backup, has all endpoints refuse connections, and restores the backup under another
+   * cluster id before the endpoints answer again.
    */
   private void restoreFromBackup() {
     restoring = true;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaults.java
@@ -6,8 +6,9 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * What goes wrong in a run of the registry's model: broken connections, endpoints that are silent,
- * closed, unavailable, late, and a registry that is restored from a backup.
+ * Injects faults into a run of {@link RegistryModel}: broken connections, endpoints that are
+ * silent, refuse connections, are unavailable, reject credentials or are delayed, and a registry
+ * that is restored from a backup.
  */
 final class RegistryFaults {
   private static final List<EndpointBehavior> WHOLE_REGISTRY_FAULTS =
@@ -20,8 +21,8 @@
   private static final int LONG_OUTAGE_ONE_IN = 4;
   private static final long MAX_LONG_OUTAGE_NANOS = 7 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_SHORT_OUTAGE_NANOS = Simulation.NANOS_PER_SECOND;
-  private static final long NO_BACKUP_NANOS = 5 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_RESTORE_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long LAST_BACKUP_BEFORE_END_NANOS = 5 * Simulation.NANOS_PER_SECOND;
+  private static final long LAST_RESTORE_BEFORE_END_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_BACKUP_AGE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MIN_DOWN_NANOS = 1200 * Simulation.NANOS_PER_MILLI;
 
@@ -30,7 +31,7 @@
   private final Simulation simulation;
   private final SplittableRandom random;
   private boolean restoring;
-  private int newClusterIds;
+  private int newClusterIdCount;
 
   RegistryFaults(RegistryModel model) {
     this.model = model;
@@ -39,7 +40,7 @@
     random = simulation.random();
   }
 
-  /** Whether the registry is down, to be restored. */
+  /** Whether the registry is down and waits for its restore. */
   boolean isRestoring() {
     return restoring;
   }
@@ -95,22 +96,24 @@
   }
 
   /**
-   * The registry goes down, and comes back as it was some writes ago: under its id or another one.
+   * Makes a backup, takes the registry down up to 3 s later, and restores the backup, so that
+   * writes after the backup are lost. The restored registry has the same cluster id or a new one.
    */
   private void restoreFromBackup() {
     if (restoring
-        || simulation.nowNanos() > simulation.faultsUntilNanos() - NO_BACKUP_NANOS
+        || simulation.nowNanos() > simulation.faultsUntilNanos() - LAST_BACKUP_BEFORE_END_NANOS
         || random.nextInt(2) == 0) {
       return;
     }
     String clusterId =
-        random.nextBoolean() ? registry.history().clusterId() : "c" + (2 + ++newClusterIds);
+        random.nextBoolean() ? registry.history().clusterId() : "c" + (2 + ++newClusterIdCount);
     RevisionedStore<RegistryRecord> backup = registry.history().copyAs(clusterId);
     simulation.after(random.nextLong(MAX_BACKUP_AGE_NANOS), () -> takeDown(backup));
   }
 
   private void takeDown(RevisionedStore<RegistryRecord> backup) {
-    if (restoring || simulation.nowNanos() > simulation.faultsUntilNanos() - NO_RESTORE_NANOS) {
+    if (restoring
+        || simulation.nowNanos() > simulation.faultsUntilNanos() - LAST_RESTORE_BEFORE_END_NANOS) {
       return;
     }
     restoring = true;
@@ -126,7 +129,7 @@
         });
   }
 
-  /** Ends all faults. */
+  /** Clears the faults of all endpoints. */
   void end() {
     registry.endpoints().forEach(VirtualEndpoint::heal);
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -12,17 +12,19 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Judges what a registry's view listed for a gateway, and what caches and clients saw. Nothing is
- * judged for a while after an event loop of this process has stalled, since that is no fault of the
- * gateway's. For the testbed's event loop, unless a method says otherwise.
+ * Checks the invariants of {@link RegistryExperiment}: the endpoints that the registry view has
+ * listed for the gateway, the requests that caches receive after a drain, and the responses that
+ * clients receive after a purge. Checks are suspended for 800 ms after an event loop of this
+ * process has stalled for more than 25 ms, because the gateway does not cause such a delay. Methods
+ * are called on the testbed's event loop unless their comment says otherwise.
  */
 final class RegistryJudge {
-  /** What is written now and then and can't be read. */
-  static final String SPOILT_CACHE = "spoilt";
+  /** Id of the cache whose record is overwritten with unreadable bytes at random times. */
+  static final String UNREADABLE_CACHE = "spoilt";
 
   static final long TICK_MILLIS = 5;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * NANOS_PER_MILLI;
+  private static final long MIN_HEALTHY_NANOS = 1250 * NANOS_PER_MILLI;
   private static final long SOCKET_ALLOWANCE_MILLIS = 50;
   private static final long MAX_DRAIN_NANOS = (250 + SOCKET_ALLOWANCE_MILLIS) * NANOS_PER_MILLI;
   private static final long MAX_PURGE_MILLIS = 300 + SOCKET_ALLOWANCE_MILLIS;
@@ -36,13 +38,14 @@
   private final RecordedEndpointList recordedList =
       new RecordedEndpointList(System::nanoTime, line -> {}, this::violation).allowRepeatedPurges();
 
-  /** Of each drained cache, when that was written; forgotten when it is ready again. */
+  /** The time at which each drained cache's record was written; removed when the cache is ready. */
   private final Map<String, Long> drainedAtNanos = new HashMap<>();
 
   private final Map<String, Long> purgedAtMillis = new HashMap<>();
 
   /**
-   * Late requests, each judged once: bounded by the drains of a run and the requests after each.
+   * Requests received after a drain that have been judged, so that each is judged once. Bounded by
+   * the drains of a run and the requests after each.
    */
   private final Set<String> judgedRequests = new HashSet<>();
 
@@ -55,31 +58,31 @@
     this.testbed = testbed;
   }
 
-  /** What was listed for the gateway. */
+  /** The endpoints that the registry view has listed for the gateway. */
   RecordedEndpointList recordedList() {
     return recordedList;
   }
 
-  /** For any thread. */
+  /** Records a violation; callable from any thread. */
   private synchronized void violation(String message) {
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add(message);
     }
   }
 
-  /** What was wrong, the first lines of it. */
+  /** The first violations, at most {@value #MAX_VIOLATIONS}; callable from any thread. */
   synchronized List<String> violations() {
     return List.copyOf(violations);
   }
 
-  /** Judges from a time on; what came before counts as no stall. */
+  /** Starts judging at a time; stalls before that time are ignored. */
   void start(long sinceNanos) {
     observedAtNanos = sinceNanos;
     stalledAtNanos = sinceNanos - UNJUDGED_AFTER_STALL_NANOS;
     testbed.vertx().setPeriodic(TICK_MILLIS, tick -> observe());
   }
 
-  /** A tick of the gateway's event loop was late; for that loop's thread. */
+  /** Records a late tick of the gateway's event loop; called on that loop's thread. */
   void gatewayLoopLate(long lateNanos) {
     if (lateNanos > STALL_NANOS) {
       stalledAtNanos = System.nanoTime();
@@ -110,33 +113,38 @@
     return worstDrainNanos / NANOS_PER_MILLI;
   }
 
-  /** For how long nothing was judged. */
+  /** Total time for which judging was suspended because of stalls. */
   long unjudgedNanos() {
     return unjudgedNanos;
   }
 
-  private boolean isJudged() {
+  private boolean isJudgingActive() {
     return System.nanoTime() - stalledAtNanos > UNJUDGED_AFTER_STALL_NANOS;
   }
 
-  /** Whether the gateway must know what the registry holds. */
-  private boolean mustKnow() {
-    return isJudged()
+  /**
+   * Whether the gateway must be up to date: judging is not suspended, and an endpoint has been
+   * healthy for long enough.
+   */
+  private boolean gatewayMustBeCurrent() {
+    return isJudgingActive()
         && testbed.registry().endpoints().stream()
-            .anyMatch(endpoint -> endpoint.isHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS));
+            .anyMatch(endpoint -> endpoint.isHealthyFor(MIN_HEALTHY_NANOS));
   }
 
   /**
-   * Looks for requests that came to a drained cache too late, while the drain could be known. Each
-   * is judged when it is first seen: guards against one that is blamed seconds later, when an
-   * endpoint has been healthy for long again.
+   * Detects stalls of this event loop, and reports requests that a drained cache received too long
+   * after its drain although the gateway must have known of it. Each request is judged only when it
+   * is first observed. Guards against a false violation: a request that the gateway sent while all
+   * endpoints failed would otherwise be reported seconds later, once an endpoint has been healthy
+   * for long enough again.
    */
   private void observe() {
     long nowNanos = System.nanoTime();
     if (nowNanos - observedAtNanos > TICK_MILLIS * NANOS_PER_MILLI + STALL_NANOS) {
       stalledAtNanos = nowNanos;
     }
-    unjudgedNanos += isJudged() ? 0 : nowNanos - observedAtNanos;
+    unjudgedNanos += isJudgingActive() ? 0 : nowNanos - observedAtNanos;
     observedAtNanos = nowNanos;
     drainedAtNanos.forEach(this::judgeDrain);
   }
@@ -145,16 +153,25 @@
     long afterNanos = testbed.cache(cache).lastRequestNanos() - drainedNanos;
     boolean firstSeen =
         afterNanos > 0 && judgedRequests.add(cache + drainedNanos + "/" + afterNanos);
-    if (firstSeen && afterNanos > worstDrainNanos && mustKnow()) {
+    if (firstSeen && afterNanos > worstDrainNanos && gatewayMustBeCurrent()) {
       worstDrainNanos = afterNanos;
     }
-    if (firstSeen && afterNanos > MAX_DRAIN_NANOS && mustKnow()) {
+    if (firstSeen && afterNanos > MAX_DRAIN_NANOS && gatewayMustBeCurrent()) {
       violation(
-          "a GET came to " + cache + " " + afterNanos / NANOS_PER_MILLI + " ms after its drain");
+          "cache "
+              + cache
+              + " received a GET "
+              + afterNanos / NANOS_PER_MILLI
+              + " ms after its drain, allowed "
+              + MAX_DRAIN_NANOS / NANOS_PER_MILLI
+              + " ms");
     }
   }
 
-  /** Judges a copy from before a purge, for a request that was sent after the grace. */
+  /**
+   * Reports a response with a copy from before the object's purge if its request was sent more than
+   * {@value #MAX_PURGE_MILLIS} ms after the purge.
+   */
   void responseReceived(LoadGenerator.Response response) {
     Long purgedAt = purgedAtMillis.get(response.object());
     long sentAtMillis =
@@ -162,36 +179,37 @@
     if (purgedAt != null
         && response.issuedAtMillis() < purgedAt
         && sentAtMillis > purgedAt + MAX_PURGE_MILLIS
-        && mustKnow()) {
+        && gatewayMustBeCurrent()) {
       violation(
           "object "
               + response.object()
-              + " from "
+              + " with a copy issued "
               + (purgedAt - response.issuedAtMillis())
-              + " ms before its purge was returned "
+              + " ms before its purge was returned to a request sent "
               + (sentAtMillis - purgedAt)
               + " ms after it");
     }
   }
 
   /**
-   * Holds what was listed for the gateway against the registry, which has been quiet for a while.
+   * Compares the endpoints listed for the gateway with the registry's contents. Called at the end
+   * of a quiet period.
    */
   void compareViews() {
     Map<String, EndpointState> registryStates = new HashMap<>();
     testbed.registry().entries().keySet().stream()
         .filter(key -> key.startsWith(CACHES_PREFIX))
         .map(key -> key.substring(CACHES_PREFIX.length()))
-        .filter(id -> !id.equals(SPOILT_CACHE))
+        .filter(id -> !id.equals(UNREADABLE_CACHE))
         .forEach(
             id ->
                 registryStates.put(id, isDrained(id) ? EndpointState.DRAINING : EndpointState.UP));
     Map<String, EndpointState> gatewayStates = recordedList.endpointStates();
     if (!registryStates.equals(gatewayStates)) {
       violation(
-          "quiet, the registry holds "
+          "after the quiet period the registry holds "
               + registryStates
-              + " and the gateway was told "
+              + " but the gateway's listed endpoints are "
               + gatewayStates);
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -14,7 +14,7 @@
 import org.amberpath.registry.WatchSession.Header;
 import org.amberpath.registry.WatchSessionConfig;
 
-/** One gateway's watch session and view, over a virtual registry. */
+/** One gateway's {@link WatchSession} and {@link RegistryView}, connected to a virtual registry. */
 final class VirtualClient implements WatchCommands {
   private static final long BLOCKING_READ_NANOS = Simulation.NANOS_PER_SECOND;
 
@@ -23,7 +23,7 @@
   private final RegistryView view;
   private final WatchSession session;
   private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
-  private long nextWakeNanos = Long.MAX_VALUE;
+  private long scheduledTickNanos = Long.MAX_VALUE;
 
   VirtualClient(
       VirtualRegistry registry, RegistryView view, int maxKeys, long seed, Consumer<String> log) {
@@ -40,7 +40,7 @@
                 registry.isBlocking() ? BLOCKING_READ_NANOS : 0,
                 seed),
             log);
-    registry.added(this);
+    registry.addClient(this);
   }
 
   RegistryView view() {
@@ -56,11 +56,11 @@
     scheduleTick();
   }
 
-  void opened(long callId, PendingCall call) {
+  void addCall(long callId, PendingCall call) {
     pendingCalls.put(callId, call);
   }
 
-  boolean closed(long callId, PendingCall call) {
+  boolean removeCall(long callId, PendingCall call) {
     return pendingCalls.remove(callId, call);
   }
 
@@ -72,16 +72,19 @@
     pendingCalls.values().forEach(PendingCall::sendChanges);
   }
 
-  /** Wakes the session when it wants to; a wake that it no longer wants does nothing. */
+  /**
+   * Schedules the session's next tick. A scheduled tick that an earlier one has superseded does
+   * nothing.
+   */
   void scheduleTick() {
     long dueNanos = session.nextTickNanos();
-    if (dueNanos < nextWakeNanos) {
-      nextWakeNanos = dueNanos;
+    if (dueNanos < scheduledTickNanos) {
+      scheduledTickNanos = dueNanos;
       scheduler.schedule(
           dueNanos,
           () -> {
-            if (nextWakeNanos == dueNanos) {
-              nextWakeNanos = Long.MAX_VALUE;
+            if (scheduledTickNanos == dueNanos) {
+              scheduledTickNanos = Long.MAX_VALUE;
               session.tick(scheduler.nowNanos());
               scheduleTick();
             }
@@ -89,11 +92,11 @@
     }
   }
 
-  /** Ends a call with all entries as they are now. */
-  void answerAll(PendingCall call) {
+  /** Completes a call with all current entries, delayed by the lag of its endpoint. */
+  void answerWithAllEntries(PendingCall call) {
     List<RegistryEntry> entries = registry.entries(registry.history().current(), "", 0);
     Header header = registry.header();
-    registry.itemsSent(entries.size());
+    registry.recordEntriesSent(entries.size());
     call.atClient(
         call.endpoint().lagNanos(),
         () -> {
@@ -114,20 +117,22 @@
     registry.trace(
         "call "
             + callId
-            + ": list at "
+            + ": list at endpoint "
             + endpointIndex
-            + " revision "
+            + ", revision "
             + revision
-            + " since "
+            + ", minimum mod revision "
             + minModRevision);
-    PendingCall continued = pendingCalls.get(callId);
+    PendingCall existingCall = pendingCalls.get(callId);
     PendingCall call =
-        continued == null ? new PendingCall(registry, this, callId, endpointIndex) : continued;
+        existingCall == null
+            ? new PendingCall(registry, this, callId, endpointIndex)
+            : existingCall;
     call.atEndpoint(
         () -> {
           RevisionedStore<RegistryRecord> history = registry.history();
           if (registry.isBlocking()) {
-            answerAll(call);
+            answerWithAllEntries(call);
           } else if ((revision != 0 && revision < history.compactedRevision())
               || revision > history.revision()) {
             call.answerCompacted();
@@ -142,16 +147,17 @@
     RevisionedStore<RegistryRecord> history = registry.history();
     Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state =
         history.stateAt(revision == 0 ? history.revision() : revision);
-    List<RegistryEntry> found = registry.entries(state, afterKey, minModRevision);
+    List<RegistryEntry> matchingEntries = registry.entries(state, afterKey, minModRevision);
     long count =
         state.keySet().stream()
             .filter(key -> key.startsWith(VirtualRegistry.PREFIX) && key.compareTo(afterKey) > 0)
             .count();
-    boolean hasMore = found.size() > limit;
-    List<RegistryEntry> page = hasMore ? found.subList(0, limit) : found;
+    boolean hasMore = matchingEntries.size() > limit;
+    List<RegistryEntry> page = hasMore ? matchingEntries.subList(0, limit) : matchingEntries;
     Header header = registry.header();
-    registry.itemsSent(page.size());
-    // An endpoint that lags knows what a majority has only when it has caught up.
+    registry.recordEntriesSent(page.size());
+    // Revision 0 reads the latest state that a majority holds: a lagging endpoint answers it only
+    // once it has caught up. A read at a given revision is answered without that delay.
     call.atClient(
         revision == 0 ? call.endpoint().lagNanos() : 0,
         () -> {
@@ -163,7 +169,13 @@
 
   @Override
   public void watch(long callId, int endpointIndex, long fromRevision) {
-    registry.trace("call " + callId + ": watch at " + endpointIndex + " from " + fromRevision);
+    registry.trace(
+        "call "
+            + callId
+            + ": watch at endpoint "
+            + endpointIndex
+            + " from revision "
+            + fromRevision);
     PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
     call.atEndpoint(
         () -> {
@@ -189,14 +201,14 @@
           }
         });
     if (registry.history().revision() < fromRevision - 1) {
-      // An index past what there is: the answer comes at once.
+      // The index is beyond the last revision: the blocking read returns immediately.
       call.endBlockingRead();
     }
   }
 
   @Override
   public void heartbeat(long callId, int endpointIndex) {
-    registry.trace("call " + callId + ": pulse at " + endpointIndex);
+    registry.trace("call " + callId + ": heartbeat at endpoint " + endpointIndex);
     PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
     call.atEndpoint(
         () -> {
@@ -217,7 +229,7 @@
 
   @Override
   public void cancel(long callId) {
-    registry.trace("call " + callId + ": dropped");
+    registry.trace("call " + callId + ": cancelled");
     PendingCall cancelled = pendingCalls.get(callId);
     if (cancelled != null) {
       cancelled.complete();
