--- a/lab/src/main/java/org/amberpath/lab/leadership/LeaderTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeaderTasks.java
@@ -6,8 +6,9 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * What one process does under its leaderships: it decides, looks again, and sends an effect; it may
- * be paused between any two of these. It hands over once its last effect is over.
+ * Task loops of one simulated process. For each task that the process leads, it decides to send an
+ * effect, checks its lease again, and sends the effect; the process may be paused between any two
+ * of these steps. On resignation it hands the task over after its last effect has ended.
  */
 final class LeaderTasks {
   private static final int PAUSED_BEFORE_LOOKING_ONE_IN = 40;
@@ -31,7 +32,10 @@
     Arrays.fill(resigning, false);
   }
 
-  /** Decides on the next effect of a task, and so on. */
+  /**
+   * Schedules the next decision of a task after a random interval of 100 to 300 ms; each decision
+   * schedules the one after it.
+   */
   void scheduleNext(int task) {
     candidate.scheduleAfter(
         simulation.random().nextLong(MIN_INTERVAL_NANOS, MAX_INTERVAL_NANOS),
@@ -39,8 +43,8 @@
           Leadership leadership = candidate.leadership(task);
           if (mayAct(task, leadership)) {
             long term = leadership.term();
-            // It may be paused between deciding and sending; it looks again, and may be paused
-            // after that, too.
+            // The process may be paused here, between deciding and sending, so it checks its lease
+            // again; it may also be paused after that check (TaskEffects.send).
             runAfterPause(() -> lookAgainAndSend(task, leadership, term));
           }
           scheduleNext(task);
@@ -73,9 +77,10 @@
   }
 
   /**
-   * Starts no new effect of a task, and hands over once the last one is over.
+   * Stops starting effects of a task, and schedules the handover for the time when the last effect
+   * has ended.
    *
-   * @return when that is
+   * @return the simulated time in nanoseconds at which the last effect has ended
    */
   long resign(int task) {
     resigning[task] = true;
@@ -84,7 +89,10 @@
     return idleFromNanos;
   }
 
-  /** Tells all others that it has stopped; the message may be late, or lost. */
+  /**
+   * Notifies all other candidates that this leader has stopped, if it still leads and its effects
+   * have ended, and then resigns. A notification may be delayed or lost.
+   */
   private void handOver(int task) {
     Leadership leadership = candidate.leadership(task);
     if (leadership.isLeader(candidate.localNanos())
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -20,11 +20,12 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Real gateways of which one at a time deletes old purges from a registry, while leaders are
- * killed, paused, terminated, cut off one way and both, messages are lost and late, and endpoints
- * of the registry are silent. The registry's own history judges ({@link PurgeFenceObserver}).
+ * Fault-injection experiment with real gateway processes that elect a leader to delete expired
+ * purges from a registry. Gateways are killed, paused, terminated and cut off in one or both
+ * directions, messages are lost and delayed, caches hang, and registry endpoints stop answering.
+ * {@link PurgeFenceObserver} checks the fence that leaders write to the registry.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // Closing the testbed blocks; an interrupt ends the experiment.
 public final class LeadershipExperiment {
   private static final String PREFIX = "amberpath/lab/";
   private static final String FIRST_VOTERS = "g0, g1, g2";
@@ -40,16 +41,32 @@
   private static final long LEASE_MILLIS = 3000;
   private static final long SETTLE_MILLIS = 600;
 
-  /** A lease and two seconds more: by then a task has a leader again, if voters are there. */
+  /**
+   * Longest time that a task may be without a leader once faults have ended: a lease, two seconds
+   * and the settle time. Assumes that a majority of voters can be reached.
+   */
   private static final long MAX_VACANCY_MILLIS = LEASE_MILLIS + 2000 + SETTLE_MILLIS;
 
   private static final long MAX_LEFT_MILLIS = 3000;
   private static final double MAX_UNJUDGED_SHARE = 0.2;
 
-  /** What is to be tried. */
+  /**
+   * Parameters of an experiment.
+   *
+   * @param seed the seed of the timetable of faults; seeds divisible by 3 elect by the registry's
+   *     leases
+   * @param gateways the number of gateway processes
+   * @param seconds the length of the period in which faults begin
+   * @param folder the directory in which the files of a run are created
+   */
   public record Plan(long seed, int gateways, int seconds, Path folder) {}
 
-  /** What the gateways say of the tasks in the end. */
+  /**
+   * What all gateways report of each task at the end of a run.
+   *
+   * @param leaders by task name, the number of gateways that report that they lead the task
+   * @param done by task name, the sum of the gateways' work counters
+   */
   private record TaskStates(Map<String, Long> leaders, Map<String, Long> done) {}
 
   private final Plan plan;
@@ -57,7 +74,10 @@
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   private final PurgeFenceObserver observer = new PurgeFenceObserver(registry, PREFIX);
 
-  /** In one run of three the registry's leases say who leads. */
+  /**
+   * Whether leaders are elected by the registry's leases, as in one run of three; otherwise by
+   * votes.
+   */
   private final boolean byLease;
 
   private LeadershipExperiment(Plan plan) {
@@ -65,7 +85,7 @@
     byLease = plan.seed() % BY_LEASE_ONE_IN == 0;
   }
 
-  /** Runs a timetable from the seed. */
+  /** Draws a timetable of faults from the seed, runs it, and reports the figures and bars. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     return new LeadershipExperiment(plan).run(out);
   }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
@@ -9,9 +9,9 @@
 import org.amberpath.lab.simulation.Simulation;
 
 /**
- * What goes wrong in a run of the leadership model: crashes, pauses, partitions, cut links, wall
- * clocks that step, power losses, an unavailable or restored registry; and operators who change the
- * voters.
+ * Fault injector of the leadership model: crashes, pauses, resignations, partitions, cut links,
+ * steps of the wall clock, power losses, an unavailable or restored registry. It also plays the
+ * operators who change the voters.
  */
 final class LeadershipFaults {
   private static final int KINDS = 9;
@@ -32,7 +32,10 @@
   private final Simulation simulation;
   private final SplittableRandom random;
 
-  /** For how many checks in a row all have known the present voters. */
+  /**
+   * Number of consecutive checks at which every running gateway had the current voter
+   * configuration; starts at 1, so the first change needs one check only.
+   */
   private int checksAllKnow = 1;
 
   LeadershipFaults(LeadershipModel model) {
@@ -41,7 +44,7 @@
     random = simulation.random();
   }
 
-  /** Injects one fault, and schedules the next. */
+  /** Injects one random fault and schedules the next one, until the fault period ends. */
   void inject() {
     if (!simulation.faultsActive()) {
       return;
@@ -127,9 +130,11 @@
   }
 
   /**
-   * The operators set the next voters, each gateway in its own time; the ones after come a lease
-   * after all have them. Guards against a leader that was elected by the voters before, in the last
-   * moment.
+   * Advances to the next voter configuration, which reaches each gateway with its own delay. The
+   * configuration after it follows only when two consecutive checks, four seconds apart (more than
+   * a lease of three seconds), found that every running gateway has the current one. Guards against
+   * two leaders at once: a leader elected by the previous voters just before a change could still
+   * hold its lease while the next voters elect another.
    */
   void advanceVoters() {
     VoterStages voters = model.voters();
@@ -156,7 +161,10 @@
     }
   }
 
-  /** Ends all faults: links are restored, all run, and know the last voters. */
+  /**
+   * Ends all faults: restores the links, ends pauses, starts the gateways that are down, and gives
+   * every gateway the last voter configuration.
+   */
   void end() {
     simulation.trace("calm");
     model.links().restoreAll();
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFigures.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What is counted in one run of the leadership model. */
+/** Counters of one run of the leadership model. */
 final class LeadershipFigures {
   private long effectsSent;
   private long effectsRejected;
@@ -40,7 +40,7 @@
     higherTermsSeen++;
   }
 
-  /** The figures under the names that reports have for them. */
+  /** Returns the counters under their names in reports. */
   Map<String, Long> report(long steps) {
     return Map.of(
         "steps", steps,
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
@@ -5,9 +5,10 @@
 import org.amberpath.lab.simulation.Simulation;
 
 /**
- * What must hold after each step of the leadership model: one leader of a task at most, none
- * without a majority of voters within the last lease, and in the calm no task without a leader for
- * longer than a succession may take.
+ * Invariants that are checked after each step of the leadership model: a task has at most one
+ * leader; it has none if no majority of voters could vote within the last lease; and after the
+ * faults have ended no task lacks a leader for longer than {@link
+ * LeadershipModel#MAX_VACANCY_NANOS}.
  */
 final class LeadershipInvariants {
   private final LeadershipModel model;
@@ -20,7 +21,11 @@
     simulation = model.simulation();
   }
 
-  /** Checks them; throws {@link InvariantViolation}. */
+  /**
+   * Checks the invariants of every task.
+   *
+   * @throws InvariantViolation if one does not hold
+   */
   void check() {
     boolean majority = model.byRegistry() || majorityCouldVote();
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
@@ -71,7 +76,7 @@
     }
   }
 
-  /** Whether a majority of voters could vote at some time within the last lease. */
+  /** Returns whether a majority of voters could vote at some time within the last lease. */
   private boolean majorityCouldVote() {
     long sinceNanos =
         simulation.nowNanos() - LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS);
@@ -83,7 +88,7 @@
     return model.voters().isMajority(couldVote);
   }
 
-  /** Checks, at the end of the calm, that each task has one leader. */
+  /** Checks, at the end of the fault-free period, that each task has exactly one leader. */
   void checkEnd() {
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
       int taskIndex = task;
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -13,8 +13,9 @@
 import org.amberpath.leadership.LeaseTimings;
 
 /**
- * One run of candidates, voters and recipients on a virtual clock, with the faults of {@link
- * LeadershipFaults}. What must hold is in {@link LeadershipInvariants} and {@link TaskEffects}.
+ * Simulates candidates, voters and recipients of effects on a virtual clock, with the faults of
+ * {@link LeadershipFaults}. {@link LeadershipInvariants} and {@link TaskEffects} check the
+ * invariants.
  */
 final class LeadershipModel {
   static final List<String> TASKS = List.of("probe", "sweep");
@@ -23,18 +24,22 @@
   /** How long an effect lasts at its recipient. */
   static final long EFFECT_NANOS = 300 * Simulation.NANOS_PER_MILLI;
 
-  /** How long an effect may be on its way once it is written. */
+  /** Longest time that an effect is in transit after it has been sent. */
   static final long MAX_SEND_NANOS = 200 * Simulation.NANOS_PER_MILLI;
 
-  /** How long a new leader waits: until the last effect of the one before is over. */
+  /**
+   * How long a new leader waits before it acts: until the last effect of the previous leader has
+   * ended.
+   */
   private static final long SETTLE_NANOS =
       EFFECT_NANOS + MAX_SEND_NANOS + 100 * Simulation.NANOS_PER_MILLI;
 
   static final LeaseTimings TIMINGS = new LeaseTimings(LEASE_NANOS, SETTLE_NANOS, 1000);
 
   /**
-   * How long a task may have no leader: voters wait a lease, tries come within another half, then
-   * the new leader waits.
+   * Longest time that a task may have no leader after the faults have ended: it covers the lease
+   * that restarted voters wait, the delays between campaigns (half a lease), and the settle time of
+   * the new leader.
    */
   static final long MAX_VACANCY_NANOS =
       2 * LEASE_NANOS + LEASE_NANOS / 2 + 2 * Simulation.NANOS_PER_SECOND + SETTLE_NANOS;
@@ -88,7 +93,7 @@
     return variant;
   }
 
-  /** Whether the registry's leases say who leads; voters do otherwise. */
+  /** Returns whether leaders are elected by the registry's leases; otherwise by votes. */
   boolean byRegistry() {
     return byRegistry;
   }
@@ -121,7 +126,7 @@
     return figures;
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     SplittableRandom random = simulation.random();
     LeadershipFaults faults = new LeadershipFaults(this);
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
@@ -10,8 +10,9 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Draws the faults of one leadership experiment. Half of them follow the leader of the moment,
- * which is looked for when the fault begins; one fault of a process at a time leaves most voters.
+ * Draws the faults of one leadership experiment. Half of the faults target the current leader,
+ * which is determined when the fault begins. The drawn durations do not overlap, so that a majority
+ * of voters keeps running.
  */
 final class LeadershipTimetable {
   private static final long FIRST_MILLIS = 500;
@@ -24,7 +25,14 @@
   private static final int EDGE_CACHES = 8;
   private static final LinkCondition LOSSY_AND_LATE = new LinkCondition(false, 0.2, 0.1, 3000);
 
-  /** What one fault is about: the gateway that was drawn or the leader, or an endpoint. */
+  /**
+   * Target of one fault.
+   *
+   * @param drawn the index of the gateway that was drawn
+   * @param endpoint the index of the registry endpoint that was drawn
+   * @param leader whether the fault targets the current leader, if one is known, instead of the
+   *     gateway that was drawn
+   */
   private record Target(int drawn, int endpoint, boolean leader) {
     @Override
     public String toString() {
@@ -59,12 +67,15 @@
     return timetable;
   }
 
-  /** Requests that came to caches while they hung. */
+  /** Returns how many requests caches received while they hung. */
   long callsToHungCaches() {
     return callsToHungCaches;
   }
 
-  /** Draws faults for so many seconds, after the steps that are there. */
+  /**
+   * Draws the faults that begin within the given number of seconds, and sorts them into the steps
+   * that the timetable already has.
+   */
   void drawFaults(int seconds) {
     long atMillis = FIRST_MILLIS;
     while (atMillis < seconds * 1000L) {
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -9,8 +9,8 @@
 import org.amberpath.lab.fleet.VirtualFleet;
 
 /**
- * What it is worth that one gateway leads tasks for all: the same scenario with none, with health
- * checks, and with health checks and prefetch, paired by seed.
+ * Measures the benefit of tasks that one gateway performs for the fleet: runs the same scenario
+ * without such tasks, with health checks, and with health checks and prefetch, paired by seed.
  */
 public final class LeadershipValueExperiment {
   private static final int MIN_CALL_RATIO = 5;
@@ -20,7 +20,12 @@
 
   private LeadershipValueExperiment() {}
 
-  /** Runs so many seeds, each in all variants, and prints the means, of the whole fleet. */
+  /**
+   * Runs each seed in all variants, and prints the means of the figures of the entire fleet.
+   *
+   * @param seed the first seed
+   * @param pairs the number of seeds
+   */
   public static ExperimentReport run(
       long seed, int gateways, int caches, int pairs, PrintStream out) {
     PairedRuns<LedTasks> runs =
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -9,7 +9,10 @@
 import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.routing.EndpointState;
 
-/** A fifth of the caches hang and come back, and one crashes and starts with nothing stored. */
+/**
+ * Simulates an outage on a virtual fleet: a fifth of the edge caches hang and one crashes; after
+ * {@value #OUTAGE_SECONDS} seconds the hung caches resume and the crashed one restarts empty.
+ */
 final class LeadershipValueModel extends VirtualFleet {
   static final int OUTAGE_SECONDS = 12;
   private static final int FAULT_SECOND = 20;
@@ -74,7 +77,8 @@
     report.put("after_5s", figures.goodShare(RECOVERY_SECOND, RECOVERY_SECOND + 5));
     report.put(
         "seconds_to_0.95", figures.secondsUntilRestored(RECOVERY_SECOND, END_SECOND, before));
-    // The first two seconds hold what was on its way; in five it has been found out.
+    // The first two seconds contain requests that were in flight when the caches hung; within five
+    // seconds the hung caches have been detected.
     report.put("calls_while_out_from_2s", figures.total("hung", FAULT_SECOND + 2, RECOVERY_SECOND));
     report.put("calls_while_out_from_5s", figures.total("hung", FAULT_SECOND + 5, RECOVERY_SECOND));
     report.put(
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipVariant.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipVariant.java
@@ -1,20 +1,28 @@
 package org.amberpath.lab.leadership;
 
-/** How tasks are led in the model: the implementation, and wrong ways that the model must catch. */
+/**
+ * Variants of leader election in the model: the implementation, and faulty ones whose faults the
+ * model must detect.
+ */
 public enum LeadershipVariant {
-  /** As implemented. */
+  /** The implementation. */
   RIGHT,
 
-  /** The lowest name alive leads; no leases. */
+  /**
+   * The gateway with the lowest name among those that send heartbeats leads; there are no leases.
+   */
   LOWEST_ALIVE,
 
-  /** A lease is counted from the voters' answer in place of from the request. */
+  /** The candidate counts its lease from the voters' answer instead of from its request. */
   BELIEF_FROM_ANSWER,
 
-  /** A voter that has restarted votes at once. */
+  /**
+   * A restarted voter votes at once, without waiting for the leases that it granted before to
+   * expire.
+   */
   NO_WAIT_AFTER_RESTART,
 
-  /** A leader does not look at its lease again before it sends. */
+  /** A leader does not check its lease a second time before it sends an effect. */
   NO_SECOND_LOOK,
 
   /** Recipients compare no terms. */
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -5,8 +5,8 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * The way that is wrong, as a baseline: who has the lowest name of all that it hears of owns every
- * task.
+ * Faulty baseline without leases: a gateway leads every task if it has received no heartbeat of a
+ * gateway with a lower name within the time-out.
  */
 final class LowestIdLeadership implements Leadership {
   private final String ownName;
--- a/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
@@ -13,8 +13,9 @@
 import org.amberpath.registry.runtime.RecordCodec;
 
 /**
- * Writes old purges into a registry, and judges by its keys who deletes them: the terms of the
- * task's fence never fall, and one term is one leader's. Only for the registry's event loop.
+ * Writes expired purges into a registry and checks the fence that leaders write when they delete
+ * them: the term of the fence never decreases, and a term belongs to one leader only. Not
+ * thread-safe; confined to the registry's event loop.
  */
 final class PurgeFenceObserver {
   private static final String TASK = "sweep";
@@ -29,7 +30,10 @@
   private final Map<Long, String> leadersByTerm = new TreeMap<>();
   private final List<String> violations = new ArrayList<>();
 
-  /** Of each purge that is still there, when it was written: bounded by the purges of one run. */
+  /**
+   * When each purge that the registry still holds was written, by key; bounded by the number of
+   * purges of one run.
+   */
   private final Map<String, Long> writtenAtNanos = new HashMap<>();
 
   private byte[] lastFence = new byte[0];
@@ -38,13 +42,16 @@
   private long purgeCount;
   private long oldestPurgeMillis;
 
-  /** When faults ended; 0 before. */
+  /** When the faults ended; 0 until then. */
   private long calmSinceNanos;
 
   private long vacantSinceNanos;
   private long longestVacancyNanos;
 
-  /** When the leader was told to end, until another acts; 0 at all other times. */
+  /**
+   * When the current leader was asked to terminate; 0 once another leader has acted, and when no
+   * termination of a leader is pending.
+   */
   private long leaderEndedNanos;
 
   private long longestSuccessionNanos;
@@ -54,7 +61,10 @@
     this.prefix = prefix;
   }
 
-  /** Writes a purge that is old by any clock, of an object that nobody asks for. */
+  /**
+   * Writes a purge of an object that is never requested, dated three hours back, so that it has
+   * expired by the clock of every gateway.
+   */
   void writePurge() {
     purgeCount++;
     String key = prefix + RecordCodec.PURGES_PREFIX + purgeCount;
@@ -71,7 +81,7 @@
     writtenAtNanos.put(key, System.nanoTime());
   }
 
-  /** Looks at the registry's keys. */
+  /** Reads the registry's keys and updates the figures and violations. */
   void observe() {
     long nowNanos = System.nanoTime();
     Map<String, byte[]> entries = registry.entries();
@@ -106,7 +116,10 @@
     highestTerm = Math.max(highestTerm, term);
   }
 
-  /** Only once calm: without a majority, or with the registry away, nobody may delete. */
+  /**
+   * Measures vacancies only after the faults have ended: while there is no majority or the registry
+   * is unavailable, no gateway may delete purges.
+   */
   private void observeVacancy(long nowNanos) {
     if (calmSinceNanos > 0 && oldestPurgeMillis > MAX_PURGE_MILLIS) {
       vacantSinceNanos = vacantSinceNanos == 0 ? nowNanos : vacantSinceNanos;
@@ -123,17 +136,19 @@
     }
   }
 
-  /** Faults have ended. */
+  /** Records that the faults have ended. */
   void calm() {
     calmSinceNanos = System.nanoTime();
   }
 
-  /** The name of who acted last; empty before anybody has. */
+  /**
+   * Returns the name of the leader with the highest term seen in the fence; empty before the first.
+   */
   String leader() {
     return leadersByTerm.getOrDefault(highestTerm, "");
   }
 
-  /** A gateway has been told to end. */
+  /** Records that a gateway is asked to terminate. */
   void ending(String name) {
     leaderEndedNanos = leader().equals(name) ? System.nanoTime() : 0;
   }
@@ -154,7 +169,7 @@
     return purgeCount;
   }
 
-  /** For how long the oldest purge has been there. */
+  /** Returns the time since the oldest purge that is still in the registry was written. */
   long oldestPurgeMillis() {
     return oldestPurgeMillis;
   }
--- a/lab/src/main/java/org/amberpath/lab/leadership/RegistryKeys.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/RegistryKeys.java
@@ -6,7 +6,10 @@
 import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.leadership.RegistryLeadership;
 
-/** The keys of all tasks in a simulated registry that can be away and restored from a backup. */
+/**
+ * The lease keys of all tasks in a simulated registry, which can be made unavailable and restored
+ * from a backup.
+ */
 final class RegistryKeys {
   private static final long MAX_LOST_TERMS = 8;
 
@@ -43,13 +46,16 @@
     return available;
   }
 
-  /** Answers nobody for a time. */
+  /** Makes the registry unavailable to all clients for a time. */
   void makeUnavailableFor(long durationNanos) {
     available = false;
     simulation.after(durationNanos, () -> available = true);
   }
 
-  /** A restored registry begins with an older term, and answers nobody before a lease is over. */
+  /**
+   * Restores the registry from a backup: it starts with an older term, and answers no client until
+   * the leases granted before have expired.
+   */
   void restoreFromBackup() {
     available = false;
     long lostTerms = simulation.random().nextLong(MAX_LOST_TERMS);
--- a/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
@@ -15,7 +15,8 @@
 import org.amberpath.leadership.VoterConfiguration;
 
 /**
- * One gateway of a run: a candidate for each task, a voter, and a recipient of leaders' effects.
+ * Simulated gateway of the leadership model: a candidate for each task, a voter, and a recipient of
+ * leaders' effects.
  */
 final class SimulatedCandidate extends SimulatedProcess {
   private static final long HEARTBEAT_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
@@ -73,7 +74,7 @@
     return voterStage;
   }
 
-  /** Starts it with no memory of earlier incarnations. */
+  /** Starts the process without any state of earlier incarnations. */
   void restart() {
     beginIncarnation();
     voterStage = model.voters().current();
@@ -141,13 +142,16 @@
     return simulation.nowNanos() / Simulation.NANOS_PER_MILLI + wallClockOffsetMillis;
   }
 
-  /** The wall clock is set anew, somewhat wrongly. */
+  /**
+   * Steps the wall clock to a random offset of up to 300 ms from the simulated time, in either
+   * direction.
+   */
   void wallClockStepped() {
     wallClockOffsetMillis =
         simulation.random().nextLong(-MAX_WALL_CLOCK_OFFSET_MILLIS, MAX_WALL_CLOCK_OFFSET_MILLIS);
   }
 
-  /** In one case of three the wall clock goes back. */
+  /** Sets the wall clock back by up to two seconds, in one case of three. */
   void wallClockMayGoBack() {
     wallClockOffsetMillis -=
         simulation.random().nextInt(3) == 0
@@ -155,7 +159,10 @@
             : 0;
   }
 
-  /** Runs a task here when, and as often as, a message of another process arrives. */
+  /**
+   * Runs a task in this process once for each copy of a message that arrives from another process;
+   * the message may be lost, delayed or duplicated.
+   */
   void deliver(int fromIndex, Runnable task) {
     model.messages().deliverOver(model.links(), fromIndex, index, this, task);
   }
@@ -175,7 +182,10 @@
     scheduleAfter(HEARTBEAT_INTERVAL_NANOS, this::sendHeartbeats);
   }
 
-  /** Runs the leadership's timer when it wants to; a timer set before does nothing. */
+  /**
+   * Schedules the next tick of a leadership at the time that it requests; a tick scheduled earlier
+   * has no effect.
+   */
   void scheduleTick(int task) {
     Leadership leadership = leaderships.get(task);
     long dueNanos = leadership.nextTickNanos();
@@ -194,7 +204,10 @@
     }
   }
 
-  /** Does something that may change the state of a leadership, traces it, and sets the timer. */
+  /**
+   * Runs an action that may change the state of a leadership, traces a change, and reschedules the
+   * next tick.
+   */
   void change(int task, Runnable action) {
     Leadership.State before = leaderships.get(task).state();
     action.run();
@@ -237,7 +250,10 @@
         });
   }
 
-  /** Whether its acceptor could vote at some time since the given one; looks at it now. */
+  /**
+   * Returns whether the acceptor could vote at some time after the given one, as far as earlier
+   * calls and this one observed.
+   */
   boolean couldVoteSince(long timeNanos) {
     if (isRunning() && !isPaused() && localNanos() >= votesFromNanos) {
       couldVoteAtNanos = simulation.nowNanos();
@@ -245,7 +261,7 @@
     return couldVoteAtNanos > timeNanos;
   }
 
-  /** The operators' present list of voters has reached it. */
+  /** Applies the current voter configuration to the leaderships of this gateway. */
   void updateVoters() {
     VoterStages voters = model.voters();
     if (voterStage != voters.current()) {
--- a/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
@@ -7,12 +7,19 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * Sends leaders' effects to three recipients: one that compares no terms, a gateway with a fence
- * that lives as long as it, and a store with a fence that outlives all power losses. No term takes
- * effect after a higher one; where terms are not compared, two leaders' effects do not overlap.
+ * Delivers leaders' effects to three recipients: one that compares no terms, a gateway with an
+ * in-memory fence, and a store whose fence survives power losses. Checks that the store applies no
+ * effect of a lower term after one of a higher term, and that the effects of two leaders do not
+ * overlap at the recipient that compares no terms, unless one of them was delayed by a pause during
+ * sending.
  */
 final class TaskEffects {
-  /** The effect of one leader at the recipient that compares no terms. */
+  /**
+   * The effect of one leader at the recipient that compares no terms.
+   *
+   * @param delayedInSending whether the sender was paused between its last check of the lease and
+   *     the sending
+   */
   private record Effect(
       int candidate, long term, long startNanos, long endNanos, boolean delayedInSending) {}
 
@@ -32,9 +39,10 @@
   }
 
   /**
-   * Sends an effect; the sender may be paused while it writes.
+   * Sends an effect to the three recipients; the sender may be paused while it writes.
    *
-   * @return when the effect is surely over
+   * @return the simulated time in nanoseconds by which the effect has ended at the recipient that
+   *     compares no terms
    */
   long send(SimulatedCandidate sender, int task, long term) {
     model.figures().effectSent();
@@ -102,7 +110,7 @@
     }
   }
 
-  /** A recipient says with its rejection which term it has seen. */
+  /** Handles the highest term that a recipient has seen, which it reports with a rejection. */
   private void higherTermReported(SimulatedCandidate sender, int task, long highestTerm) {
     Leadership leadership = sender.leadership(task);
     if (leadership.term() < highestTerm) {
--- a/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
@@ -4,9 +4,7 @@
 import java.util.SplittableRandom;
 import org.amberpath.leadership.VoterConfiguration;
 
-/**
- * The voter configurations that operators set one after the other in a run, and the present one.
- */
+/** The sequence of voter configurations that operators set in a run, and the current one. */
 final class VoterStages {
   private static final int MIN_GATEWAYS_TO_CHANGE = 5;
   private static final int VOTERS = 3;
@@ -19,7 +17,10 @@
     this.stages = stages;
   }
 
-  /** Draws three or five voters, and whether they change: first, joint, next. */
+  /**
+   * Draws three or five voters, and whether they change; if so, the stages are the first voters,
+   * the joint configuration, and the next voters.
+   */
   static VoterStages draw(List<String> names, SplittableRandom random) {
     boolean enough = names.size() >= MIN_GATEWAYS_TO_CHANGE;
     List<String> first = names.subList(0, enough && random.nextBoolean() ? MORE_VOTERS : VOTERS);
@@ -59,7 +60,9 @@
     current = stages.size() - 1;
   }
 
-  /** Whether these are a majority of the present configuration, or of the one before it. */
+  /**
+   * Returns whether the names form a majority of the current configuration or of the previous one.
+   */
   boolean isMajority(List<String> names) {
     return stages.get(current).isMajority(names)
         || (current > 0 && stages.get(current - 1).isMajority(names));
--- a/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -8,8 +8,8 @@
 import org.amberpath.membership.GossipMessage;
 
 /**
- * Carries datagrams between simulated members: they are lost, late and doubled, links are cut, and
- * recorded ones are replayed.
+ * Simulated network that delivers datagrams between members: it loses, delays and duplicates them,
+ * drops those on cut links, and replays recorded ones.
  */
 final class DatagramNetwork {
   private static final long ORDINARY_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Draws new rates of loss and duplication, and a new longest delay. */
+  /** Draws new rates of loss and duplication, and a new maximum delay. */
   void drawConditions() {
     lossRate = random.nextDouble() * MAX_LOSS_RATE;
     duplicationRate = random.nextDouble() * MAX_DUPLICATION_RATE;
@@ -74,7 +74,10 @@
             + " ms");
   }
 
-  /** Replays old datagrams to any member. */
+  /**
+   * Replays up to {@value #REPLAYED_MESSAGES} recorded datagrams, each to a random member within a
+   * second.
+   */
   void replayRecorded() {
     for (int count = 0; count < REPLAYED_MESSAGES && !recorded.isEmpty(); count++) {
       GossipMessage message = recorded.get(random.nextInt(recorded.size()));
@@ -86,7 +89,7 @@
     simulation.trace("old datagrams are sent again");
   }
 
-  /** Nothing is lost, doubled or late from now on, and all links pass. */
+  /** Ends loss, duplication and long delays, and restores all links. */
   void restore() {
     lossRate = 0;
     duplicationRate = 0;
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -16,11 +16,11 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Real gateways that know one another, while processes are killed, paused, terminated and started
- * anew, and links between them are cut, lossy and late. The timetable is drawn from the seed before
- * anything starts.
+ * Fault-injection experiment with real gateway processes that form a fleet: processes are killed,
+ * paused, terminated and restarted, and links between them are cut, lossy and slow. The timetable
+ * of faults is drawn from the seed before any process starts.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // Closing the testbed blocks; an interrupt ends the experiment.
 public final class MembershipExperiment {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long WARM_UP_MILLIS = 8000;
@@ -31,8 +31,9 @@
   private static final int ONE_MORE_ONE_IN = 3;
 
   /**
-   * What one gateway may send in any second. The protocol's own bounds come to that: forty answers
-   * in each of two periods, eight pages of a list in each, probes and those for others.
+   * Maximum number of datagrams that a gateway may send in any second. It follows from the
+   * protocol's own bounds for two probe intervals: forty answers and eight pages of a member list
+   * in each, plus direct probes and probes on behalf of others.
    */
   private static final long MAX_DATAGRAMS_PER_SECOND = 120;
 
@@ -44,9 +45,13 @@
   private static final LinkCondition LOSSY = new LinkCondition(false, 0.3, 0.1, 300);
 
   /**
-   * What is to be tried.
+   * Parameters of an experiment.
    *
-   * @param baseline whether the same runs with [fleet] off beside it
+   * @param seed the seed of the timetable of faults
+   * @param gateways the number of gateway processes
+   * @param seconds the length of the period in which faults begin
+   * @param baseline whether the same timetable is also run with [fleet] off, for comparison
+   * @param folder the directory in which the files of a run are created
    */
   public record Plan(long seed, int gateways, int seconds, boolean baseline, Path folder) {}
 
@@ -58,12 +63,12 @@
   private MembershipExperiment(Plan plan, PrintStream out) {
     this.plan = plan;
     this.out = out;
-    // In one run of three one gateway more runs than the operators expect.
+    // In one run of three there is one gateway more than the configured fleet size.
     expectedMembers = plan.seed % ONE_MORE_ONE_IN == 0 ? plan.gateways - 1 : plan.gateways;
     faults = MembershipTimetable.draw(plan.gateways, plan.seconds, new SplittableRandom(plan.seed));
   }
 
-  /** Runs the timetable, and the same with [fleet] off beside it if so planned. */
+  /** Runs the timetable, and then again with [fleet] off if the plan asks for a baseline. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     return new MembershipExperiment(plan, out).run();
   }
@@ -188,7 +193,11 @@
         .bar("parts sum to one at most", observer.maxShareSum() <= 1 + ROUNDING);
   }
 
-  /** How long it takes until all know all; less than 0 where that takes too long. */
+  /**
+   * Waits until every gateway knows all others.
+   *
+   * @return the time that it took in milliseconds, or -1 if it took more than 10 seconds
+   */
   private long awaitSettled(MembershipObserver observer) throws InterruptedException {
     long calmNanos = System.nanoTime();
     while (System.nanoTime() < calmNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI) {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
@@ -7,8 +7,8 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * What goes wrong in a run of the membership model: crashes, starts with no memory, leaves, pauses,
- * partitions, lossy links, replayed datagrams, links cut one way.
+ * Fault injector of the membership model: crashes, restarts without state, leaves, pauses,
+ * partitions, lossy links, replayed datagrams, and links cut in one direction.
  */
 final class MembershipFaults {
   private static final int KINDS = 10;
@@ -30,7 +30,7 @@
     random = simulation.random();
   }
 
-  /** Injects one fault, and schedules the next. */
+  /** Injects one random fault and schedules the next one, until the fault period ends. */
   void inject() {
     if (model.isCalm()) {
       return;
@@ -72,8 +72,10 @@
   }
 
   /**
-   * Beyond the expected size a process that remembers nothing must find those before it as one
-   * fleet.
+   * Returns whether a member may start. In a run with more members than expected, a process without
+   * state must find the running members settled as one fleet: the first start of an additional
+   * member waits until all running members have settled, and once one has started only first starts
+   * are allowed.
    */
   private boolean mayStart(SimulatedMember member) {
     boolean joinsLate = model.isBeyondExpected(member) && member.generation() == 0;
@@ -89,8 +91,10 @@
   }
 
   /**
-   * Beyond the expected size shares are promised to those alone that were admitted before; and a
-   * member that is cut off can't refute false updates.
+   * Returns whether the fleet may be partitioned. Once it exceeds the expected size, the bound on
+   * the sum of shares covers only members that were admitted before, so every running member must
+   * have a share. With a faulty member there are no partitions, because a member that is cut off
+   * can't refute false updates.
    */
   private boolean mayPartition() {
     return !model.hasFaultyMember()
@@ -125,7 +129,10 @@
     links.cutFor(random.nextLong(MAX_CUT_NANOS), from.index(), to);
   }
 
-  /** Ends all faults. Where all seed members are down nobody could be found: the first starts. */
+  /**
+   * Ends all faults. If all seed members are down, starts the first one, because a starting member
+   * could not find any other.
+   */
   void end() {
     model.faultsEnded();
     model.network().restore();
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFigures.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What is counted in one run of the membership model. */
+/** Counters of one run of the membership model. */
 final class MembershipFigures {
   private long datagrams;
   private long maxDatagramsPerSecond;
@@ -32,7 +32,7 @@
     falseUpdates++;
   }
 
-  /** The figures under the names that reports have for them. */
+  /** Returns the counters under their names in reports. */
   Map<String, Long> report(long steps) {
     return Map.of(
         "steps", steps,
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -13,10 +13,10 @@
 import org.amberpath.membership.SwimTimings;
 
 /**
- * One run of a fleet's members on a virtual clock, with the faults of {@link MembershipFaults}; in
- * one run of six one member says of others that they are gone. After each step the shares of all
- * that run sum to one at most; once it has been calm for a while, each member knows those that run
- * and nobody else.
+ * Simulates the members of a fleet on a virtual clock, with the faults of {@link MembershipFaults};
+ * in one run of six a faulty member reports others as lost or left. Invariants: after each step the
+ * shares of all running members sum to at most one; at the end of the fault-free period each
+ * member's view consists of exactly the running members.
  */
 final class MembershipModel {
   private static final long WARM_UP_NANOS = 15 * Simulation.NANOS_PER_SECOND;
@@ -36,10 +36,13 @@
   private final MembershipFaults faults;
   private final SwimTimings timings;
 
-  /** How many members the operators expect where more come; else the number of all. */
+  /**
+   * The number of members that start first: the expected fleet size in runs in which more join;
+   * otherwise the number of all members.
+   */
   private final int firstMembers;
 
-  /** The one that sends false updates; null in most runs. */
+  /** The member that sends false updates; null in runs without one. */
   private final SimulatedMember faultyMember;
 
   private final MembershipFigures figures = new MembershipFigures();
@@ -51,7 +54,7 @@
         new Simulation(seed, WARM_UP_NANOS + FAULT_PERIOD_NANOS, TimeUnit.MILLISECONDS, trace);
     SplittableRandom random = simulation.random();
     int count = MIN_MEMBERS + random.nextInt(MAX_MEMBERS - MIN_MEMBERS + 1);
-    // In one run of three more come than expected, once those before them have settled.
+    // In one run of three more members join than expected, after the first ones have settled.
     boolean moreThanExpected = random.nextInt(GROWS_ONE_IN) == 0;
     firstMembers = moreThanExpected ? Math.max(2, count - 1 - random.nextInt(count / 2)) : count;
     timings = SwimTimings.defaults(moreThanExpected ? firstMembers : count + random.nextInt(3));
@@ -84,12 +87,12 @@
     return members;
   }
 
-  /** By its name or its address, each of which ends in its index. */
+  /** Returns the member with a name or an address: both are one letter followed by its index. */
   SimulatedMember member(String nameOrAddress) {
     return members.get(Integer.parseInt(nameOrAddress.substring(1)));
   }
 
-  /** Whether this member sends false updates now. */
+  /** Returns whether a member sends false updates now. */
   boolean sendsFalseUpdates(SimulatedMember member) {
     return member == faultyMember && !isCalm();
   }
@@ -98,7 +101,7 @@
     return faultyMember != null;
   }
 
-  /** Whether more members come in this run than are expected. */
+  /** Returns whether more members join in this run than expected. */
   boolean grows() {
     return firstMembers < members.size();
   }
@@ -107,12 +110,14 @@
     return member.index() >= firstMembers;
   }
 
-  /** Whether one beyond the expected has started, as of the last fault. */
+  /**
+   * Returns whether a member beyond the expected size had started when the last fault was injected.
+   */
   boolean hasGrown() {
     return hasGrown;
   }
 
-  /** Looks whether one beyond the expected has started. */
+  /** Records whether a member beyond the expected size has started. */
   void noteStarts() {
     hasGrown |= members.stream().skip(firstMembers).anyMatch(member -> member.generation() > 0);
   }
@@ -125,7 +130,10 @@
     return calmSinceNanos > 0;
   }
 
-  /** Whether it has been calm for so long that all must know all. */
+  /**
+   * Returns whether the faults ended more than 15 seconds ago, so that all members must know each
+   * other.
+   */
   boolean isHealed() {
     return isCalm() && simulation.nowNanos() - calmSinceNanos > HEALED_AFTER_NANOS;
   }
@@ -138,7 +146,7 @@
         .toList();
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     SplittableRandom random = simulation.random();
     for (SimulatedMember member : members.subList(0, firstMembers)) {
@@ -166,7 +174,9 @@
   }
 
   /**
-   * One beyond the expected that has reached nobody serves as before: what is promised ends there.
+   * Returns whether the share of a member counts towards the sum. Once the fleet exceeds the
+   * expected size, a member that has reached no other one keeps serving with its initial share; the
+   * bound on the sum does not cover it.
    */
   private boolean isCounted(SimulatedMember member) {
     return member.isRunning()
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -10,8 +10,8 @@
 import org.amberpath.lab.testbed.ProcessTestbed;
 
 /**
- * Looks at the views of all gateways of an experiment: the sum of their shares, how soon a crash is
- * known, and whether one that runs is called lost.
+ * Observes the membership views of all gateways of an experiment: the sum of their shares, how soon
+ * a crash is detected by all, and whether a running gateway is reported as lost.
  */
 final class MembershipObserver {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -24,7 +24,10 @@
   private final int gateways;
   private final Histogram crashHeardMillis = new Histogram(MAX_HEARD_MILLIS, 3);
 
-  /** Of each gateway, when it was killed; 0 once all know it, or it has started again. */
+  /**
+   * When each gateway was killed; 0 once all running gateways have detected it or the gateway has
+   * restarted.
+   */
   private final long[] killedAtNanos;
 
   private long lastFaultNanos;
@@ -45,7 +48,7 @@
     killedAtNanos[gateway] = 0;
   }
 
-  /** A fault has begun, that lasts so long. */
+  /** Records that a fault of the given duration has begun. */
   void faultBegan(long durationMillis) {
     lastFaultNanos = Math.max(lastFaultNanos, System.nanoTime() + durationMillis * NANOS_PER_MILLI);
   }
@@ -54,7 +57,7 @@
     return maxShareSum;
   }
 
-  /** Looks at all views once. */
+  /** Reads the views of all running gateways once. */
   void observe() {
     double shareSum = 0;
     long nowNanos = System.nanoTime();
@@ -109,7 +112,7 @@
         .allMatch(status -> status.equals(LOST) || status.equals(LEFT));
   }
 
-  /** Whether every gateway runs, has settled, and knows all. */
+  /** Returns whether every gateway is running, has settled, and has all gateways in its view. */
   boolean allViewsComplete() {
     return testbed.slots().stream().allMatch(this::isViewComplete);
   }
@@ -134,7 +137,7 @@
     return names;
   }
 
-  /** The views that are not complete. */
+  /** Describes the views that are not complete. */
   String describeIncompleteViews() {
     return testbed.slots().stream()
         .filter(slot -> !isViewComplete(slot))
@@ -147,7 +150,7 @@
     return view == null ? "no view" : view.getString("phase") + " " + presentNames(view);
   }
 
-  /** Adds how soon crashes were known. */
+  /** Adds the times until crashes were detected by all running gateways. */
   void reportCrashes(ExperimentReport result) {
     result
         .figure("heard_of_a_kill_p50_ms", crashHeardMillis.getValueAtPercentile(50))
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -8,9 +8,9 @@
 import org.amberpath.lab.simulation.Simulation;
 
 /**
- * What membership costs and how soon it knows, by the fleet's size, on the virtual clock: a start
- * of all, a minute of five datagrams lost in a hundred, a crash, a join, a partition's healing.
- * Beside it, heartbeats to all.
+ * Measures the cost and the detection times of membership by fleet size, on a virtual clock: a
+ * start of all members, a minute with 5 % datagram loss, a crash, a join, and the healing of a
+ * partition. Prints the calculated cost of all-to-all heartbeats for comparison.
  */
 public final class MembershipSizeExperiment {
   private static final long SECOND = Simulation.NANOS_PER_SECOND;
@@ -24,7 +24,7 @@
   private static final double LOSS_RATE = 0.05;
   private static final double MILLIS_PER_SECOND = 1e3;
 
-  /** A datagram that says no more than who sends it: a header and a MAC. */
+  /** Size of a datagram that only identifies its sender: a header and a MAC. */
   private static final int HEARTBEAT_BYTES = 130;
 
   private static final int MAX_LOSSY_DATAGRAMS = 60;
@@ -47,7 +47,11 @@
     this.probeIntervalMillis = probeIntervalMillis;
   }
 
-  /** Runs each size with each probe interval (ms), and prints a row for each. */
+  /**
+   * Measures each fleet size with each probe interval, and prints a row for each combination.
+   *
+   * @param periods the probe intervals in milliseconds
+   */
   public static ExperimentReport run(
       long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipTimetable.java
@@ -8,10 +8,10 @@
 
 /**
  * Draws the faults of one membership experiment. At most half of the gateways are down or paused at
- * a time, and one fault of the links at a time.
+ * the same time, and link faults do not overlap.
  */
 final class MembershipTimetable {
-  /** What goes wrong; the names are those of the printed timetable. */
+  /** Kind of a fault, with its name in the printed timetable. */
   enum Kind {
     KILL("kill"),
     PAUSE("stand"),
@@ -30,8 +30,8 @@
   /**
    * One fault.
    *
-   * @param peer the other gateway, where one link is cut
-   * @param sideBits the gateways of one side of a partition, a bit each
+   * @param peer the gateway to which the link is cut, for a one-way cut; 0 otherwise
+   * @param sideBits the gateways on one side of a partition, one bit per gateway; 0 for other kinds
    */
   record Fault(
       long atMillis, Kind kind, int gateway, int peer, long sideBits, long durationMillis) {
@@ -53,7 +53,10 @@
     }
   }
 
-  /** How long a gateway that has just started is left alone. */
+  /**
+   * How long after the end of a process fault the gateway gets no further one, so that it can start
+   * up.
+   */
   private static final long START_MILLIS = 4000;
 
   private static final int SIMULTANEOUS_ONE_IN = 4;
@@ -72,13 +75,13 @@
     busyUntilMillis = new long[gateways];
   }
 
-  /** The faults of so many seconds. */
+  /** Draws the faults that begin within the given number of seconds. */
   static List<Fault> draw(int gateways, int seconds, SplittableRandom random) {
     MembershipTimetable timetable = new MembershipTimetable(gateways, random);
     long atMillis = 0;
     while (atMillis < seconds * 1000L) {
       timetable.drawFault(atMillis);
-      // Two faults in the same millisecond among them.
+      // One interval in four is zero, so that some faults begin in the same millisecond.
       atMillis +=
           random.nextInt(SIMULTANEOUS_ONE_IN) == 0
               ? 0
--- a/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
@@ -11,7 +11,7 @@
 import org.amberpath.membership.ReplayFilter;
 import org.amberpath.membership.SwimProtocol;
 
-/** One gateway of the membership model: the process that runs under its name, if one does. */
+/** Simulated gateway of the membership model; at most one process runs under its name at a time. */
 final class SimulatedMember implements SwimProtocol.Output {
   private static final long TICK_NANOS = 100 * Simulation.NANOS_PER_MILLI;
   private static final int MAX_DATAGRAMS_PER_SECOND = 200;
@@ -27,7 +27,10 @@
   private SwimProtocol protocol;
   private ReplayFilter replayFilter;
 
-  /** Counts the processes of this name: datagrams and ticks of an older one go nowhere. */
+  /**
+   * Number of processes started under this name; datagrams and ticks meant for an earlier process
+   * are dropped.
+   */
   private int generation;
 
   private long pausedUntilNanos;
@@ -58,12 +61,12 @@
     return protocol != null;
   }
 
-  /** What it knows of the fleet; null while no process runs. */
+  /** Returns the process's membership protocol; null while no process is running. */
   SwimProtocol protocol() {
     return protocol;
   }
 
-  /** Starts a process, which is not paused. */
+  /** Ends a pause, and starts a process. */
   void restartUnpaused() {
     pausedUntilNanos = 0;
     restart();
@@ -73,8 +76,8 @@
   void restart() {
     generation++;
     SplittableRandom random = simulation.random();
-    // Its clock is all that a process remembers of the starts before it, and the clock may have
-    // gone back.
+    // The incarnation is derived from the clock, which is the only state that survives a restart
+    // and may have been set back.
     long incarnation =
         Math.max(
             1,
@@ -95,18 +98,18 @@
     simulation.after(random.nextLong(TICK_NANOS), () -> tick(started));
   }
 
-  /** Ends the process at once. */
+  /** Ends the process without notifying other members. */
   void crash() {
     protocol = null;
   }
 
-  /** Ends the process after it has told the others. */
+  /** Ends the process after it has announced its departure to other members. */
   void leave() {
     protocol.leave(simulation.nowNanos());
     protocol = null;
   }
 
-  /** Has the process do nothing until a time. */
+  /** Pauses the process until a time. */
   void pauseUntil(long timeNanos) {
     pausedUntilNanos = timeNanos;
   }
@@ -139,7 +142,10 @@
     model.network().send(this, model.member(recipientAddress), sent);
   }
 
-  /** Takes a datagram that was meant for a process of this name; it waits while that is paused. */
+  /**
+   * Receives a datagram addressed to one generation of the process; while the process is paused,
+   * the datagram waits.
+   */
   void receive(int forGeneration, GossipMessage message) {
     if (forGeneration != generation || protocol == null) {
       return;
@@ -156,7 +162,10 @@
     }
   }
 
-  /** Says of another, which it knows to run, that it is gone. */
+  /**
+   * Adds to a message, in one case of four, a false update that reports a random member of its view
+   * as lost or left, unless the message is full.
+   */
   private GossipMessage withFalseUpdate(GossipMessage message) {
     SplittableRandom random = simulation.random();
     List<SwimProtocol.ObservedMember> observed = protocol.otherMembers();
--- a/lab/src/main/java/org/amberpath/lab/membership/SizedFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SizedFleet.java
@@ -11,7 +11,10 @@
 import org.amberpath.membership.runtime.DatagramCodec;
 import org.amberpath.membership.runtime.HmacKeyring;
 
-/** A fleet of one size and probe interval on a virtual clock, and what it costs. */
+/**
+ * Simulated fleet of a given size and probe interval on a virtual clock; measures its datagrams,
+ * bytes and CPU time.
+ */
 final class SizedFleet {
   private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI / 5;
   private static final long MAX_EXTRA_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
@@ -70,7 +73,7 @@
     return members.stream().limit(SEED_MEMBERS).map(SizedFleetMember::address).toList();
   }
 
-  /** Starts all, within two seconds. */
+  /** Starts all members at random times within two seconds. */
   void startAll() {
     for (SizedFleetMember member : members) {
       scheduler.scheduleAfter(random.nextLong(MAX_START_NANOS), member::restart);
@@ -82,7 +85,7 @@
     lossRate = rate;
   }
 
-  /** Cuts the fleet into two halves for a time. */
+  /** Partitions the fleet into two halves for a time, and runs it meanwhile. */
   void partitionFor(long durationNanos) {
     partitioned = true;
     runFor(durationNanos);
@@ -117,12 +120,12 @@
     return datagramCount;
   }
 
-  /** The most datagrams that one member sent in a second. */
+  /** Returns the largest number of datagrams that one member sent in a second. */
   long maxDatagramsPerSecond() {
     return maxDatagramsPerSecond;
   }
 
-  /** The time spent in all members' protocols. */
+  /** Returns the elapsed real time spent in all members' protocols. */
   long protocolNanos() {
     return protocolNanos;
   }
@@ -147,7 +150,10 @@
     return decodeNanos / 1e3 / Math.max(1, sampledDatagrams);
   }
 
-  /** Carries a datagram; one in {@value #CODEC_SAMPLE_ONE_IN} is encoded and decoded. */
+  /**
+   * Delivers a datagram unless it is lost or crosses a partition; one in {@value
+   * #CODEC_SAMPLE_ONE_IN} is encoded and decoded to measure the codec.
+   */
   void send(SizedFleetMember sender, int recipientIndex, GossipMessage message, long inSecond) {
     maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, inSecond);
     datagramCount++;
@@ -178,7 +184,13 @@
     scheduler.runUntil(scheduler.nowNanos() + durationNanos);
   }
 
-  /** Runs until each that runs knows so many; in milliseconds, when each did. */
+  /**
+   * Runs the fleet until every running member has a given number of members in its view, or for at
+   * most the given time.
+   *
+   * @return for each running member, the time in milliseconds that it took; the maximum for those
+   *     that did not get there
+   */
   Histogram runUntilPresent(int presentCount, long maxNanos) {
     Histogram millisUntilPresent = new Histogram(MAX_MILLIS, 3);
     List<SizedFleetMember> waiting =
--- a/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
@@ -7,7 +7,7 @@
 import org.amberpath.membership.ReplayFilter;
 import org.amberpath.membership.SwimProtocol;
 
-/** One member of a {@link SizedFleet}. */
+/** Simulated member of a {@link SizedFleet}. */
 final class SizedFleetMember implements SwimProtocol.Output {
   private final SizedFleet fleet;
   private final int index;
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersFigures.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What is counted in one run of the planners' model. */
+/** Counters of one run of the planners' model. */
 final class PlannersFigures {
   private long grants;
   private long grantsAboveEqualShare;
@@ -30,7 +30,7 @@
     rejectedGrants++;
   }
 
-  /** The figures under the names that reports have for them. */
+  /** Returns the counters under their names in reports. */
   Map<String, Long> report(long steps) {
     return Map.of(
         "steps", steps,
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -14,10 +14,11 @@
 import org.amberpath.planning.QuotaTimings;
 
 /**
- * One run of the pure halves of planners and forwarders on a virtual clock: messages lost, late and
- * doubled, planners killed, paused and stopped, forwarders restarted, clocks that differ and drift.
- * After each step the sum of what all forwarders may use stays within the bound, and one planner at
- * most may grant.
+ * Simulates the I/O-free parts of planners and forwarders on a virtual clock. Messages are lost,
+ * delayed and duplicated, planners are killed, paused and stopped, forwarders are restarted and
+ * paused, and clocks differ and drift. Invariants, checked after each step: the sum of the amounts
+ * that all forwarders may use stays within the bound of each resource, and at most one planner may
+ * grant.
  */
 final class PlannersModel {
   static final QuotaTimings TIMINGS =
@@ -88,7 +89,10 @@
     return forwarders.size();
   }
 
-  /** Of each resource, what all forwarders together may use; not to be changed. */
+  /**
+   * Returns the bound of each resource: the amount that all forwarders together may use. Callers
+   * must not modify the array.
+   */
   double[] bounds() {
     return bounds;
   }
@@ -97,7 +101,7 @@
     return figures;
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     planners.forEach(SimulatedPlanner::restart);
     forwarders.forEach(SimulatedForwarder::restart);
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
@@ -2,9 +2,9 @@
 
 import org.amberpath.lab.simulation.SeededRuns;
 
-/** The pure halves of planners and forwarders on a virtual clock. */
+/** Runs the I/O-free parts of planners and forwarders on a virtual clock. */
 public final class PlannersModelExperiment {
-  /** One run from a seed. */
+  /** Runs the model once from a seed. */
   public static final SeededRuns.Model MODEL =
       (seed, trace) -> new PlannersModel(seed, trace).run();
 
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedForwarder.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedForwarder.java
@@ -7,7 +7,7 @@
 import org.amberpath.planning.QuotaHolder;
 import org.amberpath.planning.QuotaRequest;
 
-/** A forwarder, which asks all planners for its quota in intervals. */
+/** Simulated forwarder, which requests its quota from all planners every 300 ms. */
 final class SimulatedForwarder extends SimulatedProcess {
   private static final long REQUEST_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
   private static final int WANTS_MUCH_ONE_IN = 3;
@@ -24,7 +24,7 @@
     this.index = index;
   }
 
-  /** Starts it with its equal share. */
+  /** Starts the process with an equal share of each resource. */
   void restart() {
     beginIncarnation();
     double[] bounds = model.bounds();
@@ -41,7 +41,7 @@
     return quotaHolder.isGranted(localNanos());
   }
 
-  /** What it may use now of a resource. */
+  /** Returns the amount of a resource that the forwarder may use now; 0 while it is not running. */
   double usableAmount(int resource) {
     return isRunning() ? quotaHolder.share(resource, localNanos()) : 0;
   }
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
@@ -13,7 +13,7 @@
 import org.amberpath.planning.QuotaLedger;
 import org.amberpath.planning.QuotaRequest;
 
-/** A planner, which grants quotas while it leads by the registry's lease. */
+/** Simulated planner, which grants quotas while it holds the registry's lease. */
 final class SimulatedPlanner extends SimulatedProcess {
   private static final int PAUSED_BEFORE_SENDING_ONE_IN = 50;
   private static final long MAX_PAUSE_NANOS = 6 * Simulation.NANOS_PER_SECOND;
@@ -47,7 +47,7 @@
     return isRunning() && leadership.isLeader(localNanos());
   }
 
-  /** Starts it with no memory of earlier incarnations. */
+  /** Starts the process without any state of earlier incarnations. */
   void restart() {
     beginIncarnation();
     ledger = null;
@@ -61,7 +61,7 @@
     keyObserved(model.key().observe());
   }
 
-  /** The registry's key is, or has become, like this. */
+  /** Handles the state of the registry's key: the one read at the start, or a change of it. */
   void keyObserved(LeaseKey.Observed observed) {
     leadership.keyObserved(localNanos(), observed.term(), observed.held(), observed.modRevision());
     scheduleTick();
@@ -79,7 +79,10 @@
     }
   }
 
-  /** Asks the planner before for what it granted; it answers once it has stopped. */
+  /**
+   * Requests the outstanding grants from all other planners; only the previous leader answers, and
+   * only once it has resigned.
+   */
   private void requestHandover(long ownTerm) {
     long requestedAtNanos = localNanos();
     for (SimulatedPlanner other : model.planners()) {
@@ -141,7 +144,10 @@
     }
   }
 
-  /** Of each resource, the fair share of one member among what all want. */
+  /**
+   * Returns the max-min fair share of one member for each resource, given what all members want; a
+   * member that has sent no request counts as wanting an equal share.
+   */
   private double[] fairShares(int ofMember) {
     double[] bounds = model.bounds();
     double[] fairShares = new double[bounds.length];
@@ -163,7 +169,7 @@
     if (grant.amounts()[0] > model.bounds()[0] / wantedByMember.length) {
       model.figures().grantedAboveEqualShare();
     }
-    // It may be paused between deciding and sending.
+    // The planner may be paused between deciding and sending.
     SplittableRandom random = simulation.random();
     long pauseNanos =
         random.nextInt(PAUSED_BEFORE_SENDING_ONE_IN) == 0 && simulation.faultsActive()
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -12,8 +12,8 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * All gateways, caches and hubs lose power in one moment and come back within some seconds, with
- * nothing stored, in any order.
+ * Simulates a power loss of all gateways, caches and hubs at the same time. Each restarts at a
+ * random time 0.5 to 6 seconds later; the caches and hubs restart empty.
  */
 final class PowerLossModel extends VirtualFleet {
   private static final int LOSS_SECOND = 20;
@@ -81,7 +81,7 @@
     return report;
   }
 
-  /** What was not served, in seconds of full service. */
+  /** Returns the service lost from the power loss on, in seconds of the service before it. */
   private double lostSeconds(double before) {
     double lost = 0;
     for (int second = LOSS_SECOND; second < LAST_SECOND; second++) {
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
@@ -9,14 +9,19 @@
 import org.amberpath.lab.fleet.OpeningPolicy;
 import org.amberpath.lab.fleet.VirtualFleet;
 
-/** A power loss of all, with three ways of opening, paired by seed, on the virtual clock. */
+/**
+ * Compares three opening policies after a power loss of all gateways and caches, paired by seed, on
+ * a virtual clock.
+ */
 public final class PowerLossSizeExperiment {
   private PowerLossSizeExperiment() {}
 
   /**
-   * Runs so many seeds, each in all variants, and prints the means.
+   * Runs each seed with all opening policies, and prints the means.
    *
-   * @param originCapacity the part of all requests that the origin bears at once
+   * @param seed the first seed
+   * @param pairs the number of seeds
+   * @param originCapacity the share of all requests that the origin can serve at once
    */
   public static ExperimentReport run(
       long seed, int gateways, int caches, int pairs, double originCapacity, PrintStream out) {
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A leader that was paused between reading and deleting, while another took over: its late deletion
- * deletes nothing.
+ * Guards against a stale leader: a leader that is paused between reading and deleting, while
+ * another leader takes over, must delete nothing when it resumes.
  */
 class FencedPurgeRetentionTest {
   private static final String PREFIX = "p/";
@@ -79,7 +79,7 @@
     PurgeRetention retention = new PurgeRetention(RETENTION, SECOND);
     purge("old", 60_000);
     try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, settings)) {
-      // The first leader reads, and is paused.
+      // The first leader reads the purges and is then paused.
       assertEquals(
           List.of(), retention.expiredPurges(EventLoopWaiter.await(adminClient.list()), 0, NOW_MS));
       purge("young", 1000);
@@ -90,7 +90,7 @@
           List.of(PREFIX + RecordCodec.PURGES_PREFIX + "old"),
           old.stream().map(RegistryEntry::key).toList());
 
-      // The second acts under a higher term; another purge grows old.
+      // The second leader deletes under a higher term; then another purge expires.
       assertTrue(
           EventLoopWaiter.await(
               adminClient.deletePurges(
@@ -104,7 +104,7 @@
               .toList();
       assertEquals(1, late.size());
 
-      // The first resumes, and goes on with what it read.
+      // The first leader resumes, and tries to delete with the fence that it read before.
       assertFalse(
           EventLoopWaiter.await(
               adminClient.deletePurges(
@@ -113,7 +113,7 @@
       assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.findFence(now, KEY).value());
       assertTrue(now.stream().anyMatch(one -> one.key().endsWith("/older")));
 
-      // The second goes on by its own fence.
+      // The second leader deletes with its own, current fence.
       assertTrue(
           EventLoopWaiter.await(
               adminClient.deletePurges(
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Leadership on a virtual clock: the implementation holds, and each wrong variant is caught. */
+/**
+ * Runs the leadership model on a virtual clock: the implementation violates no invariant, and each
+ * faulty variant violates one.
+ */
 class LeadershipModelExperimentTest {
   private static Map<String, Object> play(LeadershipVariant variant, int runs) {
     return SeededRuns.runMany(LeadershipModelExperiment.model(variant), 1, runs);
--- a/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -8,7 +8,10 @@
 import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
-/** The fleet's view on a virtual clock: the same seeds meet the same faults each time. */
+/**
+ * Runs the membership model on a virtual clock with fixed seeds, so that each run meets the same
+ * faults.
+ */
 class MembershipModelExperimentTest {
   @Test
   void membersSettleAndSharesSumToOneAtMost() {
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -7,7 +7,10 @@
 import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
-/** Planners and forwarders that fail in any order, always from the same seeds. */
+/**
+ * Runs the planners' model, with faults of planners and forwarders in random order, from fixed
+ * seeds.
+ */
 class PlannersModelExperimentTest {
   @Test
   void grantsStayWithinBoundOnFiveHundredSeeds() {
