--- a/lab/src/main/java/org/amberpath/lab/leadership/LeaderTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeaderTasks.java
@@ -11,7 +11,7 @@
  * of these steps. On resignation it hands the task over after its last effect has ended.
  */
 final class LeaderTasks {
-  private static final int PAUSED_BEFORE_LOOKING_ONE_IN = 40;
+  private static final int PAUSE_BEFORE_RECHECK_ONE_IN = 40;
   private static final long MIN_INTERVAL_NANOS = 100 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
   static final long MAX_PAUSE_NANOS = 6 * Simulation.NANOS_PER_SECOND;
@@ -45,7 +45,7 @@
             long term = leadership.term();
             // The process may be paused here, between deciding and sending, so it checks its lease
             // again; it may also be paused after that check (TaskEffects.send).
-            runAfterPause(() -> lookAgainAndSend(task, leadership, term));
+            runAfterPause(() -> recheckLeaseAndSend(task, leadership, term));
           }
           scheduleNext(task);
         });
@@ -56,7 +56,7 @@
         && !resigning[task];
   }
 
-  private void lookAgainAndSend(int task, Leadership leadership, long term) {
+  private void recheckLeaseAndSend(int task, Leadership leadership, long term) {
     if (model.variant() != LeadershipVariant.NO_SECOND_LOOK
         && !(leadership.isLeaderFor(candidate.localNanos(), LeadershipModel.EFFECT_NANOS)
             && leadership.term() == term
@@ -70,7 +70,7 @@
 
   private void runAfterPause(Runnable task) {
     SplittableRandom random = simulation.random();
-    if (simulation.faultsActive() && random.nextInt(PAUSED_BEFORE_LOOKING_ONE_IN) == 0) {
+    if (simulation.faultsActive() && random.nextInt(PAUSE_BEFORE_RECHECK_ONE_IN) == 0) {
       candidate.pauseAtLeastUntil(simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS));
     }
     candidate.schedule(Math.max(simulation.nowNanos(), candidate.pausedUntilNanos()), task);
@@ -104,7 +104,7 @@
           other.deliver(
               candidate.index(),
               () ->
-                  other.change(
+                  other.runAndTrace(
                       task,
                       () -> other.leadership(task).predecessorStopped(other.localNanos(), term)));
         }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -33,11 +33,11 @@
   private static final int MIN_GATEWAYS_TO_CHANGE_VOTERS = 5;
   private static final int ENDPOINTS = 3;
   private static final int REQUESTS_PER_SECOND = 20;
-  private static final int BY_LEASE_ONE_IN = 3;
+  private static final int ELECTED_BY_LEASE_ONE_IN = 3;
   private static final long WARM_UP_MILLIS = 7000;
   private static final long PURGE_INTERVAL_MILLIS = 100;
-  private static final long OBSERVE_MILLIS = 10;
-  private static final long CALM_MILLIS = 14_000;
+  private static final long OBSERVATION_INTERVAL_MILLIS = 10;
+  private static final long FAULT_FREE_MILLIS = 14_000;
   private static final long LEASE_MILLIS = 3000;
   private static final long SETTLE_MILLIS = 600;
 
@@ -47,7 +47,7 @@
    */
   private static final long MAX_VACANCY_MILLIS = LEASE_MILLIS + 2000 + SETTLE_MILLIS;
 
-  private static final long MAX_LEFT_MILLIS = 3000;
+  private static final long MAX_OLDEST_PURGE_MILLIS = 3000;
   private static final double MAX_UNJUDGED_SHARE = 0.2;
 
   /**
@@ -64,10 +64,10 @@
   /**
    * What all gateways report of each task at the end of a run.
    *
-   * @param leaders by task name, the number of gateways that report that they lead the task
-   * @param done by task name, the sum of the gateways' work counters
+   * @param leaderCounts by task name, the number of gateways that report that they lead the task
+   * @param workCounts by task name, the sum of the gateways' work counters
    */
-  private record TaskStates(Map<String, Long> leaders, Map<String, Long> done) {}
+  private record TaskStates(Map<String, Long> leaderCounts, Map<String, Long> workCounts) {}
 
   private final Plan plan;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -78,11 +78,11 @@
    * Whether leaders are elected by the registry's leases, as in one run of three; otherwise by
    * votes.
    */
-  private final boolean byLease;
+  private final boolean electedByLease;
 
   private LeadershipExperiment(Plan plan) {
     this.plan = plan;
-    byLease = plan.seed() % BY_LEASE_ONE_IN == 0;
+    electedByLease = plan.seed() % ELECTED_BY_LEASE_ONE_IN == 0;
   }
 
   /** Draws a timetable of faults from the seed, runs it, and reports the figures and bars. */
@@ -93,7 +93,8 @@
   private ExperimentReport run(PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(plan.seed()).figure("gateways", plan.gateways());
     String sections = commonSections();
-    String ownSections = sections + (byLease ? "by = lease\n" : "voters = " + FIRST_VOTERS + "\n");
+    String ownSections =
+        sections + (electedByLease ? "by = lease\n" : "voters = " + FIRST_VOTERS + "\n");
     Path folder = Files.createDirectories(plan.folder().resolve("owner-" + plan.seed()));
     try (ProcessTestbed testbed =
         new ProcessTestbed(
@@ -109,20 +110,20 @@
           vertx,
           () -> {
             vertx.setPeriodic(PURGE_INTERVAL_MILLIS, tick -> observer.writePurge());
-            vertx.setPeriodic(OBSERVE_MILLIS, tick -> observer.observe());
+            vertx.setPeriodic(OBSERVATION_INTERVAL_MILLIS, tick -> observer.observe());
           });
       Thread.sleep(WARM_UP_MILLIS);
       LeadershipTimetable faults =
           new LeadershipTimetable(
               new SplittableRandom(plan.seed()), testbed, vertx, registry, observer);
-      if (!byLease && plan.gateways() >= MIN_GATEWAYS_TO_CHANGE_VOTERS) {
+      if (!electedByLease && plan.gateways() >= MIN_GATEWAYS_TO_CHANGE_VOTERS) {
         addVoterChange(faults.timetable(), testbed, sections);
       }
       faults.drawFaults(plan.seconds());
       faults.timetable().print(out);
       faults.timetable().play(System.nanoTime());
-      EventLoopWaiter.runOnLoop(vertx, observer::calm);
-      Thread.sleep(CALM_MILLIS);
+      EventLoopWaiter.runOnLoop(vertx, observer::faultsEnded);
+      Thread.sleep(FAULT_FREE_MILLIS);
       report(testbed, faults, result);
     } finally {
       EventLoopWaiter.await(vertx.close());
@@ -168,8 +169,8 @@
       for (Object each : testbed.adminPage(gateway, "/owner").getJsonArray("tasks")) {
         JsonObject task = (JsonObject) each;
         String name = task.getString("task");
-        states.leaders.merge(name, task.getBoolean("holds") ? 1L : 0L, Long::sum);
-        states.done.merge(name, task.getLong("done"), Long::sum);
+        states.leaderCounts.merge(name, task.getBoolean("holds") ? 1L : 0L, Long::sum);
+        states.workCounts.merge(name, task.getLong("done"), Long::sum);
       }
     }
     return states;
@@ -178,7 +179,7 @@
   private void report(ProcessTestbed testbed, LeadershipTimetable faults, ExperimentReport result)
       throws Exception {
     TaskStates states = taskStates(testbed);
-    long leftMillis = EventLoopWaiter.callOnLoop(vertx, observer::oldestPurgeMillis);
+    long oldestPurgeMillis = EventLoopWaiter.callOnLoop(vertx, observer::oldestPurgeMillis);
     Map<String, Long> outcomes = testbed.settle();
     outcomes.forEach(result::figure);
     testbed.auditor().figures().forEach(result::figure);
@@ -186,8 +187,8 @@
         .figure("faults", faults.timetable().size() / 2)
         .figure("owners", observer.leaderTerms())
         .figure("terms_that_acted", observer.termsThatActed())
-        .figure("by", byLease ? "lease" : "votes")
-        .figure("done", new JsonObject(new LinkedHashMap<>(states.done)))
+        .figure("by", electedByLease ? "lease" : "votes")
+        .figure("done", new JsonObject(new LinkedHashMap<>(states.workCounts)))
         .figure("calls_at_hung_caches", faults.callsToHungCaches())
         .figure("longest_until_heir_acts_ms", observer.longestSuccessionMillis())
         .figure("purges", observer.purgeCount())
@@ -198,10 +199,11 @@
         .bar("terms never fall, one term is one owner's", observer.violations().isEmpty())
         .bar(
             "one owner of each task in the end",
-            states.leaders.values().stream().allMatch(count -> count == 1))
+            states.leaderCounts.values().stream().allMatch(count -> count == 1))
         .bar(
             "owned again within a lease and 2 s, once calm",
-            observer.longestVacancyMillis() <= MAX_VACANCY_MILLIS && leftMillis < MAX_LEFT_MILLIS)
+            observer.longestVacancyMillis() <= MAX_VACANCY_MILLIS
+                && oldestPurgeMillis < MAX_OLDEST_PURGE_MILLIS)
         .bar("rules kept", testbed.auditor().violations().isEmpty())
         .bar("no GET lost", outcomes.get("lost") == 0)
         .bar("one answer each", outcomes.get("twice") == 0)
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
@@ -14,19 +14,19 @@
  * operators who change the voters.
  */
 final class LeadershipFaults {
-  private static final int KINDS = 9;
+  private static final int FAULT_KINDS = 9;
   private static final int POWER_LOSS_ONE_IN = 6;
   private static final long MAX_INTERVAL_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PAUSE_NANOS = 8 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_CUT_NANOS = 8 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PARTITION_NANOS = 12 * Simulation.NANOS_PER_SECOND;
-  private static final long MAX_AWAY_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_REGISTRY_OUTAGE_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MIN_DOWN_NANOS = 50 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_DOWN_NANOS = 5 * Simulation.NANOS_PER_SECOND;
-  private static final long MAX_EXIT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_EXIT_DELAY_NANOS = 2 * Simulation.NANOS_PER_SECOND;
   private static final long VOTER_CHECK_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_VOTER_UPDATE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_VOTER_CHANGE_NANOS = 10 * Simulation.NANOS_PER_SECOND;
+  private static final long NO_VOTER_CHANGE_BEFORE_END_NANOS = 10 * Simulation.NANOS_PER_SECOND;
 
   private final LeadershipModel model;
   private final Simulation simulation;
@@ -36,7 +36,7 @@
    * Number of consecutive checks at which every running gateway had the current voter
    * configuration; starts at 1, so the first change needs one check only.
    */
-  private int checksAllKnow = 1;
+  private int checksWithCurrentVoters = 1;
 
   LeadershipFaults(LeadershipModel model) {
     this.model = model;
@@ -51,7 +51,7 @@
     }
     List<SimulatedCandidate> candidates = model.candidates();
     SimulatedCandidate candidate = candidates.get(random.nextInt(candidates.size()));
-    switch (random.nextInt(KINDS)) {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0, 1 -> crash(candidate);
       case 2, 3 -> pause(candidate);
       case 4 -> resign(candidate, random.nextInt(LeadershipModel.TASKS.size()));
@@ -61,7 +61,7 @@
         model.links().cutFor(random.nextLong(MAX_CUT_NANOS), candidate.index(), to);
       }
       case 7 -> {
-        candidate.wallClockStepped();
+        candidate.stepWallClock();
         if (random.nextInt(POWER_LOSS_ONE_IN) == 0) {
           simulation.trace("all lose power");
           candidates.forEach(this::crash);
@@ -87,16 +87,17 @@
         && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
       simulation.trace(candidate.name() + " lets " + LeadershipModel.TASKS.get(task) + " go");
       long idleFromNanos = candidate.tasks().resign(task);
-      candidate.schedule(idleFromNanos + random.nextLong(MAX_EXIT_NANOS), () -> crash(candidate));
+      candidate.schedule(
+          idleFromNanos + random.nextLong(MAX_EXIT_DELAY_NANOS), () -> crash(candidate));
     }
   }
 
   private void registryFault() {
-    if (model.byRegistry() && model.registryKeys().isAvailable()) {
+    if (model.electedByRegistry() && model.registryKeys().isAvailable()) {
       if (random.nextBoolean()) {
         model.registryKeys().restoreFromBackup();
       } else {
-        model.registryKeys().makeUnavailableFor(random.nextLong(MAX_AWAY_NANOS));
+        model.registryKeys().makeUnavailableFor(random.nextLong(MAX_REGISTRY_OUTAGE_NANOS));
       }
     }
   }
@@ -105,7 +106,7 @@
     if (candidate.isRunning()) {
       simulation.trace(candidate.name() + " is killed");
       candidate.stop();
-      candidate.wallClockMayGoBack();
+      candidate.maybeSetBackWallClock();
       long crashedIncarnation = candidate.incarnation();
       simulation.after(
           random.nextLong(MIN_DOWN_NANOS, MAX_DOWN_NANOS),
@@ -139,15 +140,16 @@
   void advanceVoters() {
     VoterStages voters = model.voters();
     if (!voters.isLast()
-        && simulation.nowNanos() < simulation.faultsUntilNanos() - NO_VOTER_CHANGE_NANOS) {
-      boolean allKnow =
+        && simulation.nowNanos()
+            < simulation.faultsUntilNanos() - NO_VOTER_CHANGE_BEFORE_END_NANOS) {
+      boolean allHaveCurrentVoters =
           model.candidates().stream()
               .allMatch(
                   candidate ->
                       !candidate.isRunning() || candidate.voterStage() == voters.current());
-      checksAllKnow = allKnow ? checksAllKnow + 1 : 0;
-      if (checksAllKnow > 1) {
-        checksAllKnow = 0;
+      checksWithCurrentVoters = allHaveCurrentVoters ? checksWithCurrentVoters + 1 : 0;
+      if (checksWithCurrentVoters > 1) {
+        checksWithCurrentVoters = 0;
         voters.advance();
         simulation.trace("the electorate becomes " + voters.at(voters.current()));
         model
@@ -165,7 +167,7 @@
    * Ends all faults: restores the links, ends pauses, starts the gateways that are down, and gives
    * every gateway the last voter configuration.
    */
-  void end() {
+  void endFaults() {
     simulation.trace("calm");
     model.links().restoreAll();
     model.voters().skipToLast();
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
@@ -27,7 +27,7 @@
    * @throws InvariantViolation if one does not hold
    */
   void check() {
-    boolean majority = model.byRegistry() || majorityCouldVote();
+    boolean majority = model.electedByRegistry() || majorityCouldVote();
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
       int leaderCount = 0;
       StringBuilder leaders = new StringBuilder();
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -45,19 +45,20 @@
       2 * LEASE_NANOS + LEASE_NANOS / 2 + 2 * Simulation.NANOS_PER_SECOND + SETTLE_NANOS;
 
   private static final long FAULT_PERIOD_NANOS = 60 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = MAX_VACANCY_NANOS + 5 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS =
+      MAX_VACANCY_NANOS + 5 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_MESSAGE_DELAY_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_START_NANOS = Simulation.NANOS_PER_SECOND;
   private static final long MAX_FIRST_FAULT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
   private static final long MIN_FIRST_VOTER_CHANGE_NANOS = 10 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_VOTER_CHANGE_DRAW_NANOS = 20 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_GATEWAYS = 3;
-  private static final int MORE_GATEWAYS = 7;
-  private static final int BY_REGISTRY_ONE_IN = 3;
+  private static final int GATEWAY_COUNT_CHOICES = 7;
+  private static final int ELECTED_BY_REGISTRY_ONE_IN = 3;
 
   private final Simulation simulation;
   private final LeadershipVariant variant;
-  private final boolean byRegistry;
+  private final boolean electedByRegistry;
   private final List<SimulatedCandidate> candidates = new ArrayList<>();
   private final VoterStages voters;
   private final LinkMatrix links;
@@ -70,8 +71,9 @@
     this.variant = variant;
     simulation = new Simulation(seed, FAULT_PERIOD_NANOS, TimeUnit.MICROSECONDS, trace);
     SplittableRandom random = simulation.random();
-    byRegistry = variant == LeadershipVariant.RIGHT && random.nextInt(BY_REGISTRY_ONE_IN) == 0;
-    int count = MIN_GATEWAYS + random.nextInt(MORE_GATEWAYS);
+    electedByRegistry =
+        variant == LeadershipVariant.RIGHT && random.nextInt(ELECTED_BY_REGISTRY_ONE_IN) == 0;
+    int count = MIN_GATEWAYS + random.nextInt(GATEWAY_COUNT_CHOICES);
     links = new LinkMatrix(simulation, count);
     messages =
         new MessageFaults(
@@ -94,8 +96,8 @@
   }
 
   /** Returns whether leaders are elected by the registry's leases; otherwise by votes. */
-  boolean byRegistry() {
-    return byRegistry;
+  boolean electedByRegistry() {
+    return electedByRegistry;
   }
 
   List<SimulatedCandidate> candidates() {
@@ -134,13 +136,13 @@
     candidates.forEach(
         candidate -> simulation.after(random.nextLong(MAX_START_NANOS), candidate::restart));
     simulation.after(random.nextLong(MAX_FIRST_FAULT_NANOS), faults::inject);
-    if (voters.change()) {
+    if (voters.hasChange()) {
       simulation.after(
           MIN_FIRST_VOTER_CHANGE_NANOS + random.nextLong(MAX_VOTER_CHANGE_DRAW_NANOS),
           faults::advanceVoters);
     }
-    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::end);
-    long steps = simulation.run(CALM_PERIOD_NANOS, invariants::check);
+    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::endFaults);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, invariants::check);
     invariants.checkEnd();
     return figures.report(steps);
   }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
@@ -21,22 +21,22 @@
   private static final long MIN_TERMINATION_MILLIS = 3000;
   private static final long MIN_INTERVAL_MILLIS = 500;
   private static final long MAX_INTERVAL_MILLIS = 4000;
-  private static final int KINDS = 8;
+  private static final int FAULT_KINDS = 8;
   private static final int EDGE_CACHES = 8;
-  private static final LinkCondition LOSSY_AND_LATE = new LinkCondition(false, 0.2, 0.1, 3000);
+  private static final LinkCondition LOSSY_AND_SLOW = new LinkCondition(false, 0.2, 0.1, 3000);
 
   /**
    * Target of one fault.
    *
-   * @param drawn the index of the gateway that was drawn
+   * @param drawnGateway the index of the gateway that was drawn
    * @param endpoint the index of the registry endpoint that was drawn
-   * @param leader whether the fault targets the current leader, if one is known, instead of the
-   *     gateway that was drawn
+   * @param targetsLeader whether the fault targets the current leader, if one is known, instead of
+   *     the gateway that was drawn
    */
-  private record Target(int drawn, int endpoint, boolean leader) {
+  private record Target(int drawnGateway, int endpoint, boolean targetsLeader) {
     @Override
     public String toString() {
-      return leader ? "the owner" : "g" + drawn;
+      return targetsLeader ? "the owner" : "g" + drawnGateway;
     }
   }
 
@@ -79,9 +79,9 @@
   void drawFaults(int seconds) {
     long atMillis = FIRST_MILLIS;
     while (atMillis < seconds * 1000L) {
-      int drawn = random.nextInt(gateways);
+      int drawnGateway = random.nextInt(gateways);
       int endpoint = random.nextInt(gateways) % registry.endpoints().size();
-      Target target = new Target(drawn, endpoint, random.nextBoolean());
+      Target target = new Target(drawnGateway, endpoint, random.nextBoolean());
       long durationMillis = random.nextLong(MIN_FAULT_MILLIS, MAX_FAULT_MILLIS);
       addFault(atMillis, durationMillis, target);
       atMillis += durationMillis + random.nextLong(MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS);
@@ -90,14 +90,14 @@
   }
 
   private void addFault(long atMillis, long durationMillis, Target target) {
-    switch (random.nextInt(KINDS)) {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> addKill(atMillis, durationMillis, target);
       case 1 ->
           timetable.addFault(
               atMillis,
               durationMillis,
               "stand " + target,
-              () -> testbed.pause(resolve(target), durationMillis),
+              () -> testbed.pause(resolveGateway(target), durationMillis),
               () -> {});
       case 2 -> addTermination(atMillis, Math.max(durationMillis, MIN_TERMINATION_MILLIS), target);
       case 3 ->
@@ -105,14 +105,14 @@
               atMillis,
               durationMillis,
               "cut off " + target,
-              () -> cutOff(resolve(target)),
+              () -> cutOff(resolveGateway(target)),
               () -> testbed.setAllLinks(LinkCondition.HEALTHY));
       case 4 ->
           timetable.addFault(
               atMillis,
               durationMillis,
               "lossy, late by up to 3 s",
-              () -> testbed.setAllLinks(LOSSY_AND_LATE),
+              () -> testbed.setAllLinks(LOSSY_AND_SLOW),
               () -> testbed.setAllLinks(LinkCondition.HEALTHY));
       case 5, 6 -> addHang(atMillis, durationMillis, "e" + random.nextInt(EDGE_CACHES));
       default -> addSilence(atMillis, durationMillis, target.endpoint);
@@ -128,11 +128,11 @@
         () -> setBehavior(endpoint, EndpointBehavior.ANSWERS));
   }
 
-  private int resolve(Target target) {
+  private int resolveGateway(Target target) {
     String leader = observer.leader();
-    return target.leader && !leader.isEmpty()
+    return target.targetsLeader && !leader.isEmpty()
         ? Integer.parseInt(leader.substring(1))
-        : target.drawn;
+        : target.drawnGateway;
   }
 
   private void addKill(long atMillis, long durationMillis, Target target) {
@@ -142,7 +142,7 @@
         durationMillis,
         "kill " + target,
         () -> {
-          killed[0] = resolve(target);
+          killed[0] = resolveGateway(target);
           testbed.kill(killed[0]);
         },
         () -> testbed.start(killed[0]));
@@ -155,8 +155,9 @@
         durationMillis,
         "term " + target,
         () -> {
-          terminated[0] = resolve(target);
-          EventLoopWaiter.runOnLoop(vertx, () -> observer.ending("g" + terminated[0]));
+          terminated[0] = resolveGateway(target);
+          EventLoopWaiter.runOnLoop(
+              vertx, () -> observer.terminationRequested("g" + terminated[0]));
           testbed.terminate(terminated[0]);
         },
         () -> {
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -20,8 +20,8 @@
   private static final int RECOVERY_SECOND = FAULT_SECOND + OUTAGE_SECONDS;
   private static final int END_SECOND = RECOVERY_SECOND + OBSERVED_SECONDS;
   private static final int HUNG_ONE_IN = 5;
-  private static final long LOSS_ANNOUNCED_NANOS = 500 * Simulation.NANOS_PER_MILLI;
-  private static final long RETURN_ANNOUNCED_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final long LOSS_ANNOUNCEMENT_DELAY_NANOS = 500 * Simulation.NANOS_PER_MILLI;
+  private static final long RETURN_ANNOUNCEMENT_DELAY_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
   private final int hungCaches;
 
@@ -44,7 +44,7 @@
             });
     scheduler()
         .schedule(
-            faultNanos + LOSS_ANNOUNCED_NANOS,
+            faultNanos + LOSS_ANNOUNCEMENT_DELAY_NANOS,
             () -> announceEndpoint(crashed, EndpointState.GONE, 0));
     scheduler()
         .schedule(
@@ -55,7 +55,7 @@
             });
     scheduler()
         .schedule(
-            recoveryNanos + RETURN_ANNOUNCED_NANOS,
+            recoveryNanos + RETURN_ANNOUNCEMENT_DELAY_NANOS,
             () -> announceEndpoint(crashed, EndpointState.UP, recoveryNanos));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -11,7 +11,7 @@
 final class LowestIdLeadership implements Leadership {
   private final String ownName;
   private final long timeoutNanos;
-  private final Map<String, Long> heardAtNanos = new TreeMap<>();
+  private final Map<String, Long> heartbeatReceivedNanos = new TreeMap<>();
   private long leaderSinceNanos = Long.MAX_VALUE;
   private long term;
   private long lastTickNanos;
@@ -23,7 +23,7 @@
   }
 
   void heartbeatReceived(long nowNanos, String name) {
-    heardAtNanos.put(name, nowNanos);
+    heartbeatReceivedNanos.put(name, nowNanos);
     tick(nowNanos);
   }
 
@@ -40,7 +40,7 @@
   @Override
   public boolean isLeader(long nowNanos) {
     return nowNanos - leaderSinceNanos > timeoutNanos
-        && heardAtNanos.entrySet().stream()
+        && heartbeatReceivedNanos.entrySet().stream()
             .noneMatch(
                 entry ->
                     entry.getKey().compareTo(ownName) < 0
@@ -64,8 +64,8 @@
   }
 
   @Override
-  public void higherTermSeen(long nowNanos, long seen) {
-    term = Math.max(term, seen + 1);
+  public void higherTermSeen(long nowNanos, long seenTerm) {
+    term = Math.max(term, seenTerm + 1);
   }
 
   @Override
--- a/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
@@ -43,7 +43,7 @@
   private long oldestPurgeMillis;
 
   /** When the faults ended; 0 until then. */
-  private long calmSinceNanos;
+  private long faultsEndedNanos;
 
   private long vacantSinceNanos;
   private long longestVacancyNanos;
@@ -52,7 +52,7 @@
    * When the current leader was asked to terminate; 0 once another leader has acted, and when no
    * termination of a leader is pending.
    */
-  private long leaderEndedNanos;
+  private long leaderTerminationNanos;
 
   private long longestSuccessionNanos;
 
@@ -103,15 +103,15 @@
     String leader = fence.getString("by");
     String previous = leadersByTerm.putIfAbsent(term, leader);
     if (term < highestTerm) {
-      violation("term " + term + " of " + leader + " after " + highestTerm);
+      addViolation("term " + term + " of " + leader + " after " + highestTerm);
     }
     if (previous != null && !previous.equals(leader)) {
-      violation("term " + term + " is " + previous + "'s and " + leader + "'s");
+      addViolation("term " + term + " is " + previous + "'s and " + leader + "'s");
     }
-    if (term > highestTerm && leaderEndedNanos > 0) {
+    if (term > highestTerm && leaderTerminationNanos > 0) {
       longestSuccessionNanos =
-          Math.max(longestSuccessionNanos, System.nanoTime() - leaderEndedNanos);
-      leaderEndedNanos = 0;
+          Math.max(longestSuccessionNanos, System.nanoTime() - leaderTerminationNanos);
+      leaderTerminationNanos = 0;
     }
     highestTerm = Math.max(highestTerm, term);
   }
@@ -121,24 +121,24 @@
    * is unavailable, no gateway may delete purges.
    */
   private void observeVacancy(long nowNanos) {
-    if (calmSinceNanos > 0 && oldestPurgeMillis > MAX_PURGE_MILLIS) {
+    if (faultsEndedNanos > 0 && oldestPurgeMillis > MAX_PURGE_MILLIS) {
       vacantSinceNanos = vacantSinceNanos == 0 ? nowNanos : vacantSinceNanos;
       longestVacancyNanos =
-          Math.max(longestVacancyNanos, nowNanos - Math.max(calmSinceNanos, vacantSinceNanos));
+          Math.max(longestVacancyNanos, nowNanos - Math.max(faultsEndedNanos, vacantSinceNanos));
     } else {
       vacantSinceNanos = 0;
     }
   }
 
-  private void violation(String message) {
+  private void addViolation(String message) {
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add(message);
     }
   }
 
   /** Records that the faults have ended. */
-  void calm() {
-    calmSinceNanos = System.nanoTime();
+  void faultsEnded() {
+    faultsEndedNanos = System.nanoTime();
   }
 
   /**
@@ -149,8 +149,8 @@
   }
 
   /** Records that a gateway is asked to terminate. */
-  void ending(String name) {
-    leaderEndedNanos = leader().equals(name) ? System.nanoTime() : 0;
+  void terminationRequested(String name) {
+    leaderTerminationNanos = leader().equals(name) ? System.nanoTime() : 0;
   }
 
   List<String> violations() {
--- a/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
@@ -31,7 +31,7 @@
   private final long[] timerGenerations = new long[LeadershipModel.TASKS.size()];
   private final LeaderTasks tasks;
   private long wallClockOffsetMillis;
-  private long votesFromNanos;
+  private long mayVoteFromNanos;
   private long couldVoteAtNanos = Long.MIN_VALUE;
   private int voterStage;
   private LeaseAcceptor acceptor;
@@ -43,7 +43,7 @@
     simulation = model.simulation();
     this.index = index;
     tasks = new LeaderTasks(model, this);
-    wallClockStepped();
+    stepWallClock();
   }
 
   int index() {
@@ -79,12 +79,12 @@
     beginIncarnation();
     voterStage = model.voters().current();
     fence = new FencingGuard();
-    long mutedNanos =
+    long votingDelayNanos =
         model.variant() == LeadershipVariant.NO_WAIT_AFTER_RESTART
             ? 0
             : LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS);
-    acceptor = new LeaseAcceptor(LeadershipModel.TIMINGS, localNanos(), mutedNanos);
-    votesFromNanos = localNanos() + mutedNanos;
+    acceptor = new LeaseAcceptor(LeadershipModel.TIMINGS, localNanos(), votingDelayNanos);
+    mayVoteFromNanos = localNanos() + votingDelayNanos;
     leaderships.clear();
     tasks.processRestarted();
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
@@ -101,7 +101,7 @@
     if (model.variant() == LeadershipVariant.LOWEST_ALIVE) {
       return new LowestIdLeadership(name(), HEARTBEAT_TIMEOUT_NANOS, localNanos());
     }
-    return model.byRegistry() ? newRegistryLeadership(task) : newQuorumLeadership(task);
+    return model.electedByRegistry() ? newRegistryLeadership(task) : newQuorumLeadership(task);
   }
 
   private RegistryLeadership newRegistryLeadership(int task) {
@@ -146,13 +146,13 @@
    * Steps the wall clock to a random offset of up to 300 ms from the simulated time, in either
    * direction.
    */
-  void wallClockStepped() {
+  void stepWallClock() {
     wallClockOffsetMillis =
         simulation.random().nextLong(-MAX_WALL_CLOCK_OFFSET_MILLIS, MAX_WALL_CLOCK_OFFSET_MILLIS);
   }
 
   /** Sets the wall clock back by up to two seconds, in one case of three. */
-  void wallClockMayGoBack() {
+  void maybeSetBackWallClock() {
     wallClockOffsetMillis -=
         simulation.random().nextInt(3) == 0
             ? simulation.random().nextLong(MAX_WALL_CLOCK_SETBACK_MILLIS)
@@ -198,7 +198,7 @@
               if (leadership instanceof QuorumLeadership quorum) {
                 quorum.wallClockRead(wallClockMillis());
               }
-              change(task, () -> leadership.tick(localNanos()));
+              runAndTrace(task, () -> leadership.tick(localNanos()));
             }
           });
     }
@@ -208,7 +208,7 @@
    * Runs an action that may change the state of a leadership, traces a change, and reschedules the
    * next tick.
    */
-  void change(int task, Runnable action) {
+  void runAndTrace(int task, Runnable action) {
     Leadership.State before = leaderships.get(task).state();
     action.run();
     Leadership leadership = leaderships.get(task);
@@ -241,7 +241,7 @@
             deliver(
                 voterIndex,
                 () ->
-                    change(
+                    runAndTrace(
                         task,
                         () ->
                             ((QuorumLeadership) leaderships.get(task))
@@ -255,7 +255,7 @@
    * calls and this one observed.
    */
   boolean couldVoteSince(long timeNanos) {
-    if (isRunning() && !isPaused() && localNanos() >= votesFromNanos) {
+    if (isRunning() && !isPaused() && localNanos() >= mayVoteFromNanos) {
       couldVoteAtNanos = simulation.nowNanos();
     }
     return couldVoteAtNanos > timeNanos;
@@ -290,7 +290,7 @@
 
     @Override
     protected void runAnswer(Runnable answer) {
-      change(task, answer);
+      runAndTrace(task, answer);
     }
 
     @Override
--- a/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
@@ -23,7 +23,7 @@
   private record Effect(
       int candidate, long term, long startNanos, long endNanos, boolean delayedInSending) {}
 
-  private static final int PAUSED_IN_SENDING_ONE_IN = 150;
+  private static final int PAUSE_DURING_SEND_ONE_IN = 150;
   private static final long MIN_REPLY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_REPLY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
 
@@ -47,7 +47,7 @@
   long send(SimulatedCandidate sender, int task, long term) {
     model.figures().effectSent();
     SplittableRandom random = simulation.random();
-    boolean delayed = simulation.faultsActive() && random.nextInt(PAUSED_IN_SENDING_ONE_IN) == 0;
+    boolean delayed = simulation.faultsActive() && random.nextInt(PAUSE_DURING_SEND_ONE_IN) == 0;
     long sentAtNanos =
         simulation.nowNanos() + (delayed ? random.nextLong(LeaderTasks.MAX_PAUSE_NANOS) : 0);
     if (delayed) {
@@ -115,7 +115,7 @@
     Leadership leadership = sender.leadership(task);
     if (leadership.term() < highestTerm) {
       model.figures().higherTermSeen();
-      sender.change(task, () -> leadership.higherTermSeen(sender.localNanos(), highestTerm));
+      sender.runAndTrace(task, () -> leadership.higherTermSeen(sender.localNanos(), highestTerm));
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
@@ -7,8 +7,8 @@
 /** The sequence of voter configurations that operators set in a run, and the current one. */
 final class VoterStages {
   private static final int MIN_GATEWAYS_TO_CHANGE = 5;
-  private static final int VOTERS = 3;
-  private static final int MORE_VOTERS = 5;
+  private static final int VOTER_COUNT = 3;
+  private static final int LARGE_VOTER_COUNT = 5;
 
   private final List<VoterConfiguration> stages;
   private int current;
@@ -22,13 +22,14 @@
    * the joint configuration, and the next voters.
    */
   static VoterStages draw(List<String> names, SplittableRandom random) {
-    boolean enough = names.size() >= MIN_GATEWAYS_TO_CHANGE;
-    List<String> first = names.subList(0, enough && random.nextBoolean() ? MORE_VOTERS : VOTERS);
+    boolean enoughGateways = names.size() >= MIN_GATEWAYS_TO_CHANGE;
+    List<String> first =
+        names.subList(0, enoughGateways && random.nextBoolean() ? LARGE_VOTER_COUNT : VOTER_COUNT);
     VoterConfiguration firstStage = new VoterConfiguration(first, List.of());
-    if (!enough || !random.nextBoolean()) {
+    if (!enoughGateways || !random.nextBoolean()) {
       return new VoterStages(List.of(firstStage));
     }
-    List<String> next = names.subList(names.size() - VOTERS, names.size());
+    List<String> next = names.subList(names.size() - VOTER_COUNT, names.size());
     return new VoterStages(
         List.of(
             firstStage,
@@ -44,7 +45,7 @@
     return current;
   }
 
-  boolean change() {
+  boolean hasChange() {
     return stages.size() > 1;
   }
 
--- a/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -12,9 +12,9 @@
  * drops those on cut links, and replays recorded ones.
  */
 final class DatagramNetwork {
-  private static final long ORDINARY_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
+  private static final long DEFAULT_MAX_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
   private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI / 5;
-  private static final long SHORT_DELAY_NANOS = 5 * Simulation.NANOS_PER_MILLI;
+  private static final long SHORT_MAX_DELAY_NANOS = 5 * Simulation.NANOS_PER_MILLI;
   private static final double MAX_LOSS_RATE = 0.3;
   private static final double MAX_DUPLICATION_RATE = 0.2;
   private static final int MAX_RECORDED = 300;
@@ -28,7 +28,7 @@
   private final List<GossipMessage> recorded = new ArrayList<>();
   private double lossRate;
   private double duplicationRate;
-  private long maxDelayNanos = ORDINARY_DELAY_NANOS;
+  private long maxDelayNanos = DEFAULT_MAX_DELAY_NANOS;
 
   DatagramNetwork(Simulation simulation, LinkMatrix links, List<SimulatedMember> members) {
     this.simulation = simulation;
@@ -38,7 +38,7 @@
   }
 
   void send(SimulatedMember sender, SimulatedMember recipient, GossipMessage message) {
-    record(message);
+    maybeRecord(message);
     if (links.isCut(sender.index(), recipient.index()) || random.nextDouble() < lossRate) {
       return;
     }
@@ -51,7 +51,7 @@
     }
   }
 
-  private void record(GossipMessage message) {
+  private void maybeRecord(GossipMessage message) {
     if (recorded.size() < MAX_RECORDED || random.nextInt(RECORDED_ONE_IN) == 0) {
       recorded.add(message);
       if (recorded.size() > MAX_RECORDED) {
@@ -65,7 +65,9 @@
     lossRate = random.nextDouble() * MAX_LOSS_RATE;
     duplicationRate = random.nextDouble() * MAX_DUPLICATION_RATE;
     maxDelayNanos =
-        1 + random.nextLong(random.nextBoolean() ? Simulation.NANOS_PER_SECOND : SHORT_DELAY_NANOS);
+        1
+            + random.nextLong(
+                random.nextBoolean() ? Simulation.NANOS_PER_SECOND : SHORT_MAX_DELAY_NANOS);
     simulation.trace(
         "loss "
             + lossRate
@@ -93,7 +95,7 @@
   void restore() {
     lossRate = 0;
     duplicationRate = 0;
-    maxDelayNanos = ORDINARY_DELAY_NANOS;
+    maxDelayNanos = DEFAULT_MAX_DELAY_NANOS;
     links.restoreAll();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -24,11 +24,11 @@
 public final class MembershipExperiment {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long WARM_UP_MILLIS = 8000;
-  private static final long DISCOVERY_CHANGE_MILLIS = 400;
-  private static final long OBSERVE_MILLIS = 200;
+  private static final long DISCOVERY_CHANGE_INTERVAL_MILLIS = 400;
+  private static final long OBSERVATION_INTERVAL_MILLIS = 200;
   private static final long MAX_SETTLE_MILLIS = 10_000;
   private static final int REQUESTS_PER_SECOND = 40;
-  private static final int ONE_MORE_ONE_IN = 3;
+  private static final int EXTRA_GATEWAY_ONE_IN = 3;
 
   /**
    * Maximum number of datagrams that a gateway may send in any second. It follows from the
@@ -41,7 +41,7 @@
   private static final double MAX_UNJUDGED_SHARE = 0.2;
   private static final double MAX_SERVICE_DIFFERENCE = 0.02;
   private static final double ROUNDING = 1e-9;
-  private static final double REPORTED_DIGITS = 10_000;
+  private static final double REPORT_SCALE = 10_000;
   private static final LinkCondition LOSSY = new LinkCondition(false, 0.3, 0.1, 300);
 
   /**
@@ -64,7 +64,7 @@
     this.plan = plan;
     this.out = out;
     // In one run of three there is one gateway more than the configured fleet size.
-    expectedMembers = plan.seed % ONE_MORE_ONE_IN == 0 ? plan.gateways - 1 : plan.gateways;
+    expectedMembers = plan.seed % EXTRA_GATEWAY_ONE_IN == 0 ? plan.gateways - 1 : plan.gateways;
     faults = MembershipTimetable.draw(plan.gateways, plan.seconds, new SplittableRandom(plan.seed));
   }
 
@@ -82,21 +82,22 @@
             .figure("faults", faults.size());
     double served = runWithFleet(result);
     if (plan.baseline) {
-      double without = runWithoutFleet();
-      result.figure("served_without", rounded(without));
+      double servedWithoutFleet = runWithoutFleet();
+      result.figure("served_without", rounded(servedWithoutFleet));
       if (expectedMembers == plan.gateways) {
         result.bar(
-            "served within 0.02 of a day without", served >= without - MAX_SERVICE_DIFFERENCE);
+            "served within 0.02 of a day without",
+            served >= servedWithoutFleet - MAX_SERVICE_DIFFERENCE);
       }
     }
     return result;
   }
 
   private static double rounded(double value) {
-    return Math.round(value * REPORTED_DIGITS) / REPORTED_DIGITS;
+    return Math.round(value * REPORT_SCALE) / REPORT_SCALE;
   }
 
-  private ProcessTestbed open(String folderName, int members) throws Exception {
+  private ProcessTestbed openTestbed(String folderName, int members) throws Exception {
     Path folder = Files.createDirectories(plan.folder.resolve(folderName + plan.seed));
     deleteFiles(folder);
     return new ProcessTestbed(
@@ -112,19 +113,19 @@
   }
 
   private double runWithFleet(ExperimentReport result) throws Exception {
-    try (ProcessTestbed testbed = open("fleet-", expectedMembers)) {
+    try (ProcessTestbed testbed = openTestbed("fleet-", expectedMembers)) {
       MembershipObserver observer = new MembershipObserver(testbed, plan.gateways);
       testbed.startAll();
       Thread.sleep(WARM_UP_MILLIS);
-      long beganNanos = System.nanoTime();
+      long startedNanos = System.nanoTime();
       Timetable timetable = timetable(testbed, observer);
-      for (long at = 0; at < endMillis(); at += OBSERVE_MILLIS) {
+      for (long at = 0; at < endMillis(); at += OBSERVATION_INTERVAL_MILLIS) {
         timetable.add(at, "observe", observer::observe);
       }
       timetable.sort();
-      timetable.play(beganNanos);
+      timetable.play(startedNanos);
       long settledAfterMillis = awaitSettled(observer);
-      double served = testbed.servedShare(beganNanos, System.nanoTime());
+      double served = testbed.servedShare(startedNanos, System.nanoTime());
       String incompleteViews = settledAfterMillis < 0 ? observer.describeIncompleteViews() : "";
       Map<String, Long> outcomes = reportService(testbed, served, result);
       result
@@ -146,16 +147,16 @@
   }
 
   private double runWithoutFleet() throws Exception {
-    try (ProcessTestbed testbed = open("without-", 0)) {
+    try (ProcessTestbed testbed = openTestbed("without-", 0)) {
       MembershipObserver observer = new MembershipObserver(testbed, plan.gateways);
       testbed.startAll();
       Thread.sleep(WARM_UP_MILLIS);
-      long beganNanos = System.nanoTime();
+      long startedNanos = System.nanoTime();
       Timetable timetable = timetable(testbed, observer);
       timetable.sort();
-      timetable.play(beganNanos);
+      timetable.play(startedNanos);
       Thread.sleep(MAX_SETTLE_MILLIS);
-      double served = testbed.servedShare(beganNanos, System.nanoTime());
+      double served = testbed.servedShare(startedNanos, System.nanoTime());
       out.println(
           "without [fleet]: " + testbed.settle() + ", wrong: " + testbed.auditor().violations());
       return served;
@@ -199,12 +200,12 @@
    * @return the time that it took in milliseconds, or -1 if it took more than 10 seconds
    */
   private long awaitSettled(MembershipObserver observer) throws InterruptedException {
-    long calmNanos = System.nanoTime();
-    while (System.nanoTime() < calmNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI) {
-      Thread.sleep(OBSERVE_MILLIS);
+    long faultsEndedNanos = System.nanoTime();
+    while (System.nanoTime() < faultsEndedNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI) {
+      Thread.sleep(OBSERVATION_INTERVAL_MILLIS);
       observer.observe();
       if (observer.allViewsComplete()) {
-        return (System.nanoTime() - calmNanos) / NANOS_PER_MILLI;
+        return (System.nanoTime() - faultsEndedNanos) / NANOS_PER_MILLI;
       }
     }
     return -1;
@@ -223,16 +224,16 @@
           fault.atMillis(),
           fault.durationMillis(),
           fault.kind().name(),
-          () -> begin(fault, testbed, observer),
-          () -> end(fault, testbed, observer));
+          () -> beginFault(fault, testbed, observer),
+          () -> endFault(fault, testbed, observer));
     }
-    for (long at = 0; at < endMillis(); at += DISCOVERY_CHANGE_MILLIS) {
+    for (long at = 0; at < endMillis(); at += DISCOVERY_CHANGE_INTERVAL_MILLIS) {
       timetable.add(at, "change discovery", testbed::changeDiscovery);
     }
     return timetable;
   }
 
-  private void begin(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
+  private void beginFault(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
       throws Exception {
     observer.faultBegan(fault.durationMillis());
     switch (fault.kind()) {
@@ -248,7 +249,7 @@
     }
   }
 
-  private static void end(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
+  private static void endFault(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
       throws Exception {
     switch (fault.kind()) {
       case KILL -> {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
@@ -11,7 +11,7 @@
  * partitions, lossy links, replayed datagrams, and links cut in one direction.
  */
 final class MembershipFaults {
-  private static final int KINDS = 10;
+  private static final int FAULT_KINDS = 10;
   private static final int SEED_MEMBERS = 3;
   private static final long MAX_INTERVAL_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PAUSE_NANOS = 12 * Simulation.NANOS_PER_SECOND;
@@ -32,16 +32,16 @@
 
   /** Injects one random fault and schedules the next one, until the fault period ends. */
   void inject() {
-    if (model.isCalm()) {
+    if (model.haveFaultsEnded()) {
       return;
     }
     model.figures().faultInjected();
-    model.noteStarts();
+    model.recordGrowth();
     List<SimulatedMember> members = model.members();
     SimulatedMember member = members.get(random.nextInt(members.size()));
-    switch (random.nextInt(KINDS)) {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0, 1 -> {
-        if (mayEnd(member)) {
+        if (mayStop(member)) {
           simulation.trace(member.name() + " is killed");
           member.crash();
         }
@@ -53,7 +53,7 @@
         }
       }
       case 4 -> {
-        if (mayEnd(member)) {
+        if (mayStop(member)) {
           simulation.trace(member.name() + " leaves");
           member.leave();
         }
@@ -67,7 +67,7 @@
     simulation.scheduleNextFault(MAX_INTERVAL_NANOS, this::inject);
   }
 
-  private boolean mayEnd(SimulatedMember member) {
+  private boolean mayStop(SimulatedMember member) {
     return member.isRunning() && model.runningNames().size() > 1;
   }
 
@@ -78,9 +78,11 @@
    * are allowed.
    */
   private boolean mayStart(SimulatedMember member) {
-    boolean joinsLate = model.isBeyondExpected(member) && member.generation() == 0;
+    boolean firstStartBeyondExpected = model.isBeyondExpected(member) && member.generation() == 0;
     return !member.isRunning()
-        && (!model.grows() || (!model.hasGrown() && !joinsLate) || (joinsLate && allSettled()));
+        && (!model.mayExceedExpectedSize()
+            || (!model.hasGrown() && !firstStartBeyondExpected)
+            || (firstStartBeyondExpected && allSettled()));
   }
 
   private boolean allSettled() {
@@ -133,7 +135,7 @@
    * Ends all faults. If all seed members are down, starts the first one, because a starting member
    * could not find any other.
    */
-  void end() {
+  void endFaults() {
     model.faultsEnded();
     model.network().restore();
     simulation.trace("calm");
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -21,13 +21,13 @@
 final class MembershipModel {
   private static final long WARM_UP_NANOS = 15 * Simulation.NANOS_PER_SECOND;
   private static final long FAULT_PERIOD_NANOS = 40 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = 30 * Simulation.NANOS_PER_SECOND;
-  private static final long HEALED_AFTER_NANOS = 15 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS = 30 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_CONVERGENCE_NANOS = 15 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_START_NANOS = 2 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_MEMBERS = 3;
   private static final int MAX_MEMBERS = 30;
-  private static final int GROWS_ONE_IN = 3;
-  private static final int FAULTY_ONE_IN = 6;
+  private static final int GROWTH_ONE_IN = 3;
+  private static final int FAULTY_MEMBER_ONE_IN = 6;
   private static final double ROUNDING = 1e-9;
 
   private final Simulation simulation;
@@ -40,14 +40,14 @@
    * The number of members that start first: the expected fleet size in runs in which more join;
    * otherwise the number of all members.
    */
-  private final int firstMembers;
+  private final int initialMemberCount;
 
   /** The member that sends false updates; null in runs without one. */
   private final SimulatedMember faultyMember;
 
   private final MembershipFigures figures = new MembershipFigures();
   private boolean hasGrown;
-  private long calmSinceNanos;
+  private long faultsEndedNanos;
 
   MembershipModel(long seed, Consumer<String> trace) {
     simulation =
@@ -55,16 +55,19 @@
     SplittableRandom random = simulation.random();
     int count = MIN_MEMBERS + random.nextInt(MAX_MEMBERS - MIN_MEMBERS + 1);
     // In one run of three more members join than expected, after the first ones have settled.
-    boolean moreThanExpected = random.nextInt(GROWS_ONE_IN) == 0;
-    firstMembers = moreThanExpected ? Math.max(2, count - 1 - random.nextInt(count / 2)) : count;
-    timings = SwimTimings.defaults(moreThanExpected ? firstMembers : count + random.nextInt(3));
+    boolean moreThanExpected = random.nextInt(GROWTH_ONE_IN) == 0;
+    initialMemberCount =
+        moreThanExpected ? Math.max(2, count - 1 - random.nextInt(count / 2)) : count;
+    timings =
+        SwimTimings.defaults(moreThanExpected ? initialMemberCount : count + random.nextInt(3));
     LinkMatrix links = new LinkMatrix(simulation, count);
     network = new DatagramNetwork(simulation, links, members);
     faults = new MembershipFaults(this, links);
     for (int index = 0; index < count; index++) {
       members.add(new SimulatedMember(this, index));
     }
-    faultyMember = random.nextInt(FAULTY_ONE_IN) == 0 ? members.get(random.nextInt(count)) : null;
+    faultyMember =
+        random.nextInt(FAULTY_MEMBER_ONE_IN) == 0 ? members.get(random.nextInt(count)) : null;
   }
 
   Simulation simulation() {
@@ -94,7 +97,7 @@
 
   /** Returns whether a member sends false updates now. */
   boolean sendsFalseUpdates(SimulatedMember member) {
-    return member == faultyMember && !isCalm();
+    return member == faultyMember && !haveFaultsEnded();
   }
 
   boolean hasFaultyMember() {
@@ -102,12 +105,12 @@
   }
 
   /** Returns whether more members join in this run than expected. */
-  boolean grows() {
-    return firstMembers < members.size();
+  boolean mayExceedExpectedSize() {
+    return initialMemberCount < members.size();
   }
 
   boolean isBeyondExpected(SimulatedMember member) {
-    return member.index() >= firstMembers;
+    return member.index() >= initialMemberCount;
   }
 
   /**
@@ -118,24 +121,25 @@
   }
 
   /** Records whether a member beyond the expected size has started. */
-  void noteStarts() {
-    hasGrown |= members.stream().skip(firstMembers).anyMatch(member -> member.generation() > 0);
+  void recordGrowth() {
+    hasGrown |=
+        members.stream().skip(initialMemberCount).anyMatch(member -> member.generation() > 0);
   }
 
   void faultsEnded() {
-    calmSinceNanos = simulation.nowNanos();
+    faultsEndedNanos = simulation.nowNanos();
   }
 
-  boolean isCalm() {
-    return calmSinceNanos > 0;
+  boolean haveFaultsEnded() {
+    return faultsEndedNanos > 0;
   }
 
   /**
    * Returns whether the faults ended more than 15 seconds ago, so that all members must know each
    * other.
    */
-  boolean isHealed() {
-    return isCalm() && simulation.nowNanos() - calmSinceNanos > HEALED_AFTER_NANOS;
+  boolean isConvergenceDue() {
+    return haveFaultsEnded() && simulation.nowNanos() - faultsEndedNanos > MAX_CONVERGENCE_NANOS;
   }
 
   List<String> runningNames() {
@@ -149,12 +153,12 @@
   /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     SplittableRandom random = simulation.random();
-    for (SimulatedMember member : members.subList(0, firstMembers)) {
+    for (SimulatedMember member : members.subList(0, initialMemberCount)) {
       simulation.after(random.nextLong(MAX_START_NANOS), member::restart);
     }
     simulation.after(WARM_UP_NANOS, faults::inject);
-    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::end);
-    long steps = simulation.run(CALM_PERIOD_NANOS, this::checkShares);
+    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::endFaults);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, this::checkShares);
     members.stream().filter(SimulatedMember::isRunning).forEach(this::checkEnd);
     return figures.report(steps);
   }
@@ -178,7 +182,7 @@
    * expected size, a member that has reached no other one keeps serving with its initial share; the
    * bound on the sum does not cover it.
    */
-  private boolean isCounted(SimulatedMember member) {
+  private boolean countsTowardsShareSum(SimulatedMember member) {
     return member.isRunning()
         && !(hasGrown && member.protocol().phase() == SwimProtocol.Phase.ALONE);
   }
@@ -186,7 +190,7 @@
   private void checkShares() {
     double shareSum = 0;
     for (SimulatedMember member : members) {
-      shareSum += isCounted(member) ? member.protocol().quotaShare() : 0;
+      shareSum += countsTowardsShareSum(member) ? member.protocol().quotaShare() : 0;
     }
     if (shareSum > 1 + ROUNDING) {
       throw new InvariantViolation(
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -15,14 +15,14 @@
  */
 final class MembershipObserver {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long FAULT_FREE_NANOS = 15_000 * NANOS_PER_MILLI;
-  private static final long MAX_HEARD_MILLIS = 60_000;
+  private static final long MIN_FAULT_FREE_NANOS = 15_000 * NANOS_PER_MILLI;
+  private static final long MAX_DETECTION_MILLIS = 60_000;
   private static final String LOST = "lost";
   private static final String LEFT = "left";
 
   private final ProcessTestbed testbed;
   private final int gateways;
-  private final Histogram crashHeardMillis = new Histogram(MAX_HEARD_MILLIS, 3);
+  private final Histogram crashDetectionMillis = new Histogram(MAX_DETECTION_MILLIS, 3);
 
   /**
    * When each gateway was killed; 0 once all running gateways have detected it or the gateway has
@@ -71,9 +71,9 @@
     }
     maxShareSum = Math.max(maxShareSum, shareSum);
     for (int gateway = 0; gateway < gateways; gateway++) {
-      if (killedAtNanos[gateway] != 0 && allKnowGone(gateway)) {
-        long heardMillis = (nowNanos - killedAtNanos[gateway]) / NANOS_PER_MILLI;
-        crashHeardMillis.recordValue(Math.min(MAX_HEARD_MILLIS, heardMillis));
+      if (killedAtNanos[gateway] != 0 && allReportLostOrLeft(gateway)) {
+        long detectionMillis = (nowNanos - killedAtNanos[gateway]) / NANOS_PER_MILLI;
+        crashDetectionMillis.recordValue(Math.min(MAX_DETECTION_MILLIS, detectionMillis));
         killedAtNanos[gateway] = 0;
       }
     }
@@ -98,11 +98,11 @@
 
   private boolean isFaultFree(GatewaySlot slot, long nowNanos) {
     return slot.isRunning()
-        && nowNanos - slot.runningSinceNanos() > FAULT_FREE_NANOS
-        && nowNanos - lastFaultNanos > FAULT_FREE_NANOS;
+        && nowNanos - slot.runningSinceNanos() > MIN_FAULT_FREE_NANOS
+        && nowNanos - lastFaultNanos > MIN_FAULT_FREE_NANOS;
   }
 
-  private boolean allKnowGone(int gateway) {
+  private boolean allReportLostOrLeft(int gateway) {
     String name = "g" + gateway;
     return testbed.slots().stream()
         .filter(slot -> slot.view() != null && slot.isRunning())
@@ -153,9 +153,9 @@
   /** Adds the times until crashes were detected by all running gateways. */
   void reportCrashes(ExperimentReport result) {
     result
-        .figure("heard_of_a_kill_p50_ms", crashHeardMillis.getValueAtPercentile(50))
-        .figure("heard_of_a_kill_max_ms", crashHeardMillis.getMaxValue())
-        .figure("kills_heard_of", crashHeardMillis.getTotalCount());
+        .figure("heard_of_a_kill_p50_ms", crashDetectionMillis.getValueAtPercentile(50))
+        .figure("heard_of_a_kill_max_ms", crashDetectionMillis.getMaxValue())
+        .figure("kills_heard_of", crashDetectionMillis.getTotalCount());
   }
 
   long observations() {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -14,9 +14,9 @@
  */
 public final class MembershipSizeExperiment {
   private static final long SECOND = Simulation.NANOS_PER_SECOND;
-  private static final long MAX_KNOWN_NANOS = 300 * SECOND;
+  private static final long MAX_DETECTION_NANOS = 300 * SECOND;
   private static final long MAX_HEALED_NANOS = 600 * SECOND;
-  private static final long CALM_NANOS = 20 * SECOND;
+  private static final long STABLE_NANOS = 20 * SECOND;
   private static final long AFTER_LOSS_NANOS = 5 * SECOND;
   private static final long PARTITION_NANOS = 20 * SECOND;
   private static final int LOSSY_SECONDS = 60;
@@ -39,7 +39,7 @@
   private Histogram untilHealed;
   private double datagramsPerSecond;
   private double cpuMicrosPerSecond;
-  private long maxWhileLossy;
+  private long maxDatagramsWhileLossy;
 
   private MembershipSizeExperiment(long seed, int size, long probeIntervalMillis) {
     fleet = new SizedFleet(seed, size, probeIntervalMillis * Simulation.NANOS_PER_MILLI);
@@ -50,10 +50,10 @@
   /**
    * Measures each fleet size with each probe interval, and prints a row for each combination.
    *
-   * @param periods the probe intervals in milliseconds
+   * @param probeIntervalsMillis the probe intervals in milliseconds
    */
   public static ExperimentReport run(
-      long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
+      long seed, List<Integer> sizes, List<Integer> probeIntervalsMillis, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
     out.println(
         "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 %"
@@ -63,8 +63,9 @@
             + " p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram"
             + " sent, read");
     for (int size : sizes) {
-      for (long period : periods) {
-        MembershipSizeExperiment row = new MembershipSizeExperiment(seed, size, period);
+      for (long probeIntervalMillis : probeIntervalsMillis) {
+        MembershipSizeExperiment row =
+            new MembershipSizeExperiment(seed, size, probeIntervalMillis);
         row.measure();
         row.print(out);
         row.report(result);
@@ -83,15 +84,15 @@
 
   private void measure() {
     fleet.startAll();
-    untilAllKnown = fleet.runUntilPresent(size, MAX_KNOWN_NANOS);
-    fleet.runFor(CALM_NANOS);
+    untilAllKnown = fleet.runUntilPresent(size, MAX_DETECTION_NANOS);
+    fleet.runFor(STABLE_NANOS);
     measureLossyMinute();
     fleet.runFor(AFTER_LOSS_NANOS);
     SizedFleetMember last = fleet.members().get(size - 1);
     last.crash();
-    untilCrashKnown = fleet.runUntilPresent(size - 1, MAX_KNOWN_NANOS);
+    untilCrashKnown = fleet.runUntilPresent(size - 1, MAX_DETECTION_NANOS);
     last.restart();
-    untilJoinKnown = fleet.runUntilPresent(size, MAX_KNOWN_NANOS);
+    untilJoinKnown = fleet.runUntilPresent(size, MAX_DETECTION_NANOS);
     fleet.partitionFor(PARTITION_NANOS);
     untilHealed = fleet.runUntilPresent(size, MAX_HEALED_NANOS);
   }
@@ -99,13 +100,13 @@
   private void measureLossyMinute() {
     long datagramsBefore = fleet.datagramCount();
     long protocolNanosBefore = fleet.protocolNanos();
-    fleet.forgetMaxDatagrams();
+    fleet.resetMaxDatagrams();
     fleet.setLossRate(LOSS_RATE);
-    fleet.countFalseAlarms();
+    fleet.startCountingFalseAlarms();
     fleet.runFor(LOSSY_SECONDS * SECOND);
     fleet.stopCountingFalseAlarms();
     fleet.setLossRate(0);
-    maxWhileLossy = fleet.maxDatagramsPerSecond();
+    maxDatagramsWhileLossy = fleet.maxDatagramsPerSecond();
     datagramsPerSecond = (fleet.datagramCount() - datagramsBefore) / (double) LOSSY_SECONDS / size;
     cpuMicrosPerSecond = (fleet.protocolNanos() - protocolNanosBefore) / 1e3 / LOSSY_SECONDS / size;
   }
@@ -119,7 +120,7 @@
         untilAllKnown.getMaxValue() / MILLIS_PER_SECOND,
         datagramsPerSecond,
         datagramsPerSecond * fleet.bytesPerDatagram(),
-        maxWhileLossy,
+        maxDatagramsWhileLossy,
         fleet.maxDatagramsPerSecond(),
         fleet.falseSuspicions() * MINUTES_PER_HOUR / size,
         fleet.falseLosses() * MINUTES_PER_HOUR / size);
@@ -152,7 +153,7 @@
             untilHealed.getMaxValue() < MAX_HEALED_NANOS / Simulation.NANOS_PER_MILLI)
         .bar(
             prefix + ": under 60 datagrams in any second of the lossy minute",
-            maxWhileLossy <= MAX_LOSSY_DATAGRAMS)
+            maxDatagramsWhileLossy <= MAX_LOSSY_DATAGRAMS)
         .bar(prefix + ": under 120 in any second", fleet.maxDatagramsPerSecond() <= MAX_DATAGRAMS);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipTimetable.java
@@ -57,7 +57,7 @@
    * How long after the end of a process fault the gateway gets no further one, so that it can start
    * up.
    */
-  private static final long START_MILLIS = 4000;
+  private static final long START_UP_MILLIS = 4000;
 
   private static final int SIMULTANEOUS_ONE_IN = 4;
   private static final long MIN_INTERVAL_MILLIS = 200;
@@ -66,13 +66,13 @@
   private final int gateways;
   private final SplittableRandom random;
   private final List<Fault> faults = new ArrayList<>();
-  private final long[] busyUntilMillis;
-  private long linksUntilMillis;
+  private final long[] unavailableUntilMillis;
+  private long linkFaultUntilMillis;
 
   private MembershipTimetable(int gateways, SplittableRandom random) {
     this.gateways = gateways;
     this.random = random;
-    busyUntilMillis = new long[gateways];
+    unavailableUntilMillis = new long[gateways];
   }
 
   /** Draws the faults that begin within the given number of seconds. */
@@ -98,20 +98,20 @@
       case 1 -> addProcessFault(atMillis, Kind.PAUSE, gateway, random.nextLong(300, 8000));
       case 2 -> addProcessFault(atMillis, Kind.TERMINATE, gateway, random.nextLong(2500, 6000));
       case 3 -> {
-        if (linksUntilMillis <= atMillis) {
+        if (linkFaultUntilMillis <= atMillis) {
           long durationMillis = random.nextLong(1000, 8000);
           long sideBits = 1 + random.nextLong((1L << gateways) - 2);
           addLinkFault(new Fault(atMillis, Kind.PARTITION, 0, 0, sideBits, durationMillis));
         }
       }
       case 4 -> {
-        if (linksUntilMillis <= atMillis) {
+        if (linkFaultUntilMillis <= atMillis) {
           long durationMillis = random.nextLong(1000, 6000);
           addLinkFault(new Fault(atMillis, Kind.LOSSY, 0, 0, 0, durationMillis));
         }
       }
       default -> {
-        if (linksUntilMillis <= atMillis && gateway != peer) {
+        if (linkFaultUntilMillis <= atMillis && gateway != peer) {
           long durationMillis = random.nextLong(1000, 8000);
           addLinkFault(new Fault(atMillis, Kind.ONE_WAY_CUT, gateway, peer, 0, durationMillis));
         }
@@ -120,15 +120,16 @@
   }
 
   private void addProcessFault(long atMillis, Kind kind, int gateway, long durationMillis) {
-    long away = Arrays.stream(busyUntilMillis).filter(until -> until > atMillis).count();
-    if (busyUntilMillis[gateway] <= atMillis && 2 * (away + 1) <= gateways) {
+    long unavailableCount =
+        Arrays.stream(unavailableUntilMillis).filter(until -> until > atMillis).count();
+    if (unavailableUntilMillis[gateway] <= atMillis && 2 * (unavailableCount + 1) <= gateways) {
       faults.add(new Fault(atMillis, kind, gateway, 0, 0, durationMillis));
-      busyUntilMillis[gateway] = atMillis + durationMillis + START_MILLIS;
+      unavailableUntilMillis[gateway] = atMillis + durationMillis + START_UP_MILLIS;
     }
   }
 
   private void addLinkFault(Fault fault) {
     faults.add(fault);
-    linksUntilMillis = fault.endMillis();
+    linkFaultUntilMillis = fault.endMillis();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
@@ -204,7 +204,7 @@
     simulation.trace(name + ": " + memberName + " " + status);
     if (status == MemberStatus.LOST && model.member(memberName).isRunning()) {
       model.figures().runningMemberLost();
-      if (model.isHealed()) {
+      if (model.isConvergenceDue()) {
         throw new InvariantViolation(
             name + " holds " + memberName + " for lost, which runs and can be reached");
       }
--- a/lab/src/main/java/org/amberpath/lab/membership/SizedFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SizedFleet.java
@@ -41,7 +41,7 @@
   private long maxDatagramsPerSecond;
   private double lossRate;
   private boolean partitioned;
-  private boolean countsFalseAlarms;
+  private boolean countingFalseAlarms;
   private int falseLosses;
   private int falseSuspicions;
 
@@ -92,28 +92,28 @@
     partitioned = false;
   }
 
-  void countFalseAlarms() {
-    countsFalseAlarms = true;
+  void startCountingFalseAlarms() {
+    countingFalseAlarms = true;
   }
 
   void stopCountingFalseAlarms() {
-    countsFalseAlarms = false;
+    countingFalseAlarms = false;
   }
 
-  void forgetMaxDatagrams() {
+  void resetMaxDatagrams() {
     maxDatagramsPerSecond = 0;
   }
 
-  void worked(long nanos) {
+  void addProtocolTime(long nanos) {
     protocolNanos += nanos;
   }
 
-  void suspicionHeard() {
-    falseSuspicions += countsFalseAlarms ? 1 : 0;
+  void memberSuspected() {
+    falseSuspicions += countingFalseAlarms ? 1 : 0;
   }
 
-  void lossHeard() {
-    falseLosses += countsFalseAlarms ? 1 : 0;
+  void memberLost() {
+    falseLosses += countingFalseAlarms ? 1 : 0;
   }
 
   long datagramCount() {
@@ -154,8 +154,8 @@
    * Delivers a datagram unless it is lost or crosses a partition; one in {@value
    * #CODEC_SAMPLE_ONE_IN} is encoded and decoded to measure the codec.
    */
-  void send(SizedFleetMember sender, int recipientIndex, GossipMessage message, long inSecond) {
-    maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, inSecond);
+  void send(SizedFleetMember sender, int recipientIndex, GossipMessage message, long sentInSecond) {
+    maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, sentInSecond);
     datagramCount++;
     if (datagramCount % CODEC_SAMPLE_ONE_IN == 0) {
       sample(message);
--- a/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
@@ -74,15 +74,16 @@
             () -> tick(started));
   }
 
-  private void tick(SwimProtocol of) {
-    if (protocol == of) {
+  private void tick(SwimProtocol scheduledFor) {
+    if (protocol == scheduledFor) {
       long startedNanos = System.nanoTime();
       protocol.tick(fleet.scheduler().nowNanos());
-      fleet.worked(System.nanoTime() - startedNanos);
+      fleet.addProtocolTime(System.nanoTime() - startedNanos);
       fleet
           .scheduler()
           .scheduleAfter(
-              fleet.timings().probeIntervalNanos() / SizedFleet.TICKS_PER_PERIOD, () -> tick(of));
+              fleet.timings().probeIntervalNanos() / SizedFleet.TICKS_PER_PERIOD,
+              () -> tick(scheduledFor));
     }
   }
 
@@ -99,7 +100,7 @@
         default -> {}
       }
     }
-    fleet.worked(System.nanoTime() - startedNanos);
+    fleet.addProtocolTime(System.nanoTime() - startedNanos);
   }
 
   @Override
@@ -113,9 +114,9 @@
   @Override
   public void memberStatusChanged(String memberName, MemberStatus status) {
     if (status == MemberStatus.SUSPECTED) {
-      fleet.suspicionHeard();
+      fleet.memberSuspected();
     } else if (status == MemberStatus.LOST) {
-      fleet.lossHeard();
+      fleet.memberLost();
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -27,7 +27,7 @@
   static final long LEASE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
 
   private static final long FAULT_PERIOD_NANOS = 60 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_MESSAGE_DELAY_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_FAULT_INTERVAL_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PLANNER_PAUSE_NANOS = 8 * Simulation.NANOS_PER_SECOND;
@@ -36,7 +36,7 @@
   private static final long MAX_DOWN_NANOS = 5 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_PLANNERS = 2;
   private static final int MIN_FORWARDERS = 4;
-  private static final int MORE_FORWARDERS = 8;
+  private static final int FORWARDER_COUNT_CHOICES = 8;
   private static final int FAULT_KINDS = 6;
   private static final double ROUNDING = 1e-6;
 
@@ -60,7 +60,7 @@
             planners,
             SimulatedPlanner::keyObserved);
     int plannerCount = MIN_PLANNERS + simulation.random().nextInt(2);
-    int forwarderCount = MIN_FORWARDERS + simulation.random().nextInt(MORE_FORWARDERS);
+    int forwarderCount = MIN_FORWARDERS + simulation.random().nextInt(FORWARDER_COUNT_CHOICES);
     for (int index = 0; index < plannerCount; index++) {
       planners.add(new SimulatedPlanner(this, index));
     }
@@ -106,7 +106,7 @@
     planners.forEach(SimulatedPlanner::restart);
     forwarders.forEach(SimulatedForwarder::restart);
     simulation.after(simulation.random().nextLong(Simulation.NANOS_PER_SECOND), this::injectFault);
-    long steps = simulation.run(CALM_PERIOD_NANOS, this::checkInvariants);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, this::checkInvariants);
     long granted = forwarders.stream().filter(SimulatedForwarder::isGranted).count();
     if (granted < forwarders.size()) {
       throw new InvariantViolation(
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedForwarder.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedForwarder.java
@@ -10,7 +10,7 @@
 /** Simulated forwarder, which requests its quota from all planners every 300 ms. */
 final class SimulatedForwarder extends SimulatedProcess {
   private static final long REQUEST_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
-  private static final int WANTS_MUCH_ONE_IN = 3;
+  private static final int LARGE_REQUEST_ONE_IN = 3;
 
   private final PlannersModel model;
   private final Simulation simulation;
@@ -52,7 +52,7 @@
     double[] wanted = new double[bounds.length];
     for (int resource = 0; resource < bounds.length; resource++) {
       wanted[resource] =
-          random.nextInt(WANTS_MUCH_ONE_IN) == 0
+          random.nextInt(LARGE_REQUEST_ONE_IN) == 0
               ? bounds[resource] * random.nextDouble()
               : bounds[resource] / model.forwarderCount() * random.nextDouble();
     }
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
@@ -15,7 +15,7 @@
 
 /** Simulated planner, which grants quotas while it holds the registry's lease. */
 final class SimulatedPlanner extends SimulatedProcess {
-  private static final int PAUSED_BEFORE_SENDING_ONE_IN = 50;
+  private static final int PAUSE_BEFORE_SEND_ONE_IN = 50;
   private static final long MAX_PAUSE_NANOS = 6 * Simulation.NANOS_PER_SECOND;
 
   private final PlannersModel model;
@@ -172,7 +172,7 @@
     // The planner may be paused between deciding and sending.
     SplittableRandom random = simulation.random();
     long pauseNanos =
-        random.nextInt(PAUSED_BEFORE_SENDING_ONE_IN) == 0 && simulation.faultsActive()
+        random.nextInt(PAUSE_BEFORE_SEND_ONE_IN) == 0 && simulation.faultsActive()
             ? random.nextLong(MAX_PAUSE_NANOS)
             : 0;
     simulation.after(
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -17,19 +17,19 @@
  */
 final class PowerLossModel extends VirtualFleet {
   private static final int LOSS_SECOND = 20;
-  private static final int MAX_AWAY_SECONDS = 6;
+  private static final int MAX_DOWN_SECONDS = 6;
   private static final int END_SECOND = 60;
   private static final int LAST_SECOND = END_SECOND - 4;
-  private static final long MAX_AWAY_NANOS = MAX_AWAY_SECONDS * Simulation.NANOS_PER_SECOND;
-  private static final long MIN_AWAY_NANOS = 500 * Simulation.NANOS_PER_MILLI;
-  private static final long ANNOUNCED_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final long MAX_DOWN_NANOS = MAX_DOWN_SECONDS * Simulation.NANOS_PER_SECOND;
+  private static final long MIN_DOWN_NANOS = 500 * Simulation.NANOS_PER_MILLI;
+  private static final long ANNOUNCEMENT_DELAY_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
   PowerLossModel(Plan plan) throws IOException {
     super(plan, END_SECOND);
   }
 
-  private long drawAwayNanos() {
-    return MIN_AWAY_NANOS + random().nextLong(MAX_AWAY_NANOS - MIN_AWAY_NANOS);
+  private long drawDownNanos() {
+    return MIN_DOWN_NANOS + random().nextLong(MAX_DOWN_NANOS - MIN_DOWN_NANOS);
   }
 
   @Override
@@ -45,10 +45,10 @@
               edgesAndHubs.forEach(FleetCache::crash);
             });
     for (FleetCache cache : edgesAndHubs) {
-      scheduler().schedule(lossNanos + drawAwayNanos(), () -> restart(cache));
+      scheduler().schedule(lossNanos + drawDownNanos(), () -> restart(cache));
     }
     for (FleetGateway gateway : gateways()) {
-      scheduler().schedule(lossNanos + drawAwayNanos(), gateway::startAfterPowerLoss);
+      scheduler().schedule(lossNanos + drawDownNanos(), gateway::startAfterPowerLoss);
     }
   }
 
@@ -57,7 +57,7 @@
     long startedAtNanos = scheduler().nowNanos();
     scheduler()
         .scheduleAfter(
-            ANNOUNCED_NANOS,
+            ANNOUNCEMENT_DELAY_NANOS,
             () -> announceEndpoint(cache.index(), EndpointState.UP, startedAtNanos));
   }
 
@@ -69,7 +69,7 @@
     report.put("before", before);
     report.put(
         "seconds_to_0.95_from_the_last_return",
-        figures.secondsUntilRestored(LOSS_SECOND + MAX_AWAY_SECONDS, LAST_SECOND, before));
+        figures.secondsUntilRestored(LOSS_SECOND + MAX_DOWN_SECONDS, LAST_SECOND, before));
     report.put("served_in_the_20s_from_the_loss", figures.goodShare(LOSS_SECOND, LOSS_SECOND + 20));
     report.put("good_lost_in_seconds_of_before", lostSeconds(before));
     report.put("origin_peak_in_100ms", (double) figures.originFillPeak(LOSS_SECOND));
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -30,8 +30,8 @@
 class FencedPurgeRetentionTest {
   private static final String PREFIX = "p/";
   private static final String KEY = PREFIX + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
-  private static final long SECOND = 1_000_000_000;
-  private static final long RETENTION = 10 * SECOND;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long RETENTION_NANOS = 10 * NANOS_PER_SECOND;
   private static final long NOW_MS = 1_800_000_000_000L;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -41,7 +41,7 @@
     return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  private void purge(String name, long agoMs) throws Exception {
+  private void writePurge(String name, long agoMs) throws Exception {
     callOnLoop(
         () ->
             registry.write(
@@ -57,11 +57,12 @@
 
   @ParameterizedTest
   @EnumSource(RegistrySettings.ProtocolKind.class)
-  void lateDeletionOfLowerTermDeletesNothing(RegistrySettings.ProtocolKind form) throws Exception {
+  void lateDeletionOfLowerTermDeletesNothing(RegistrySettings.ProtocolKind protocolKind)
+      throws Exception {
     int port = EventLoopWaiter.await(callOnLoop(() -> registry.open(0))).port();
     RegistrySettings settings =
         new RegistrySettings(
-            form,
+            protocolKind,
             List.of(SocketAddress.inetSocketAddress(port, "127.0.0.1")),
             PREFIX,
             null,
@@ -71,47 +72,50 @@
             null,
             null,
             null,
-            SECOND,
-            SECOND,
-            RETENTION,
+            NANOS_PER_SECOND,
+            NANOS_PER_SECOND,
+            RETENTION_NANOS,
             1000,
             1 << 20);
-    PurgeRetention retention = new PurgeRetention(RETENTION, SECOND);
-    purge("old", 60_000);
+    PurgeRetention retention = new PurgeRetention(RETENTION_NANOS, NANOS_PER_SECOND);
+    writePurge("old", 60_000);
     try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, settings)) {
       // The first leader reads the purges and is then paused.
       assertEquals(
           List.of(), retention.expiredPurges(EventLoopWaiter.await(adminClient.list()), 0, NOW_MS));
-      purge("young", 1000);
-      List<RegistryEntry> read = EventLoopWaiter.await(adminClient.list());
-      RegistryEntry fence = PurgeRetention.findFence(read, KEY);
-      List<RegistryEntry> old = retention.expiredPurges(read, RETENTION + 1, NOW_MS);
+      writePurge("young", 1000);
+      List<RegistryEntry> entriesRead = EventLoopWaiter.await(adminClient.list());
+      RegistryEntry fence = PurgeRetention.findFence(entriesRead, KEY);
+      List<RegistryEntry> expiredPurges =
+          retention.expiredPurges(entriesRead, RETENTION_NANOS + 1, NOW_MS);
       assertEquals(
           List.of(PREFIX + RecordCodec.PURGES_PREFIX + "old"),
-          old.stream().map(RegistryEntry::key).toList());
+          expiredPurges.stream().map(RegistryEntry::key).toList());
 
       // The second leader deletes under a higher term; then another purge expires.
       assertTrue(
           EventLoopWaiter.await(
               adminClient.deletePurges(
-                  PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
-      purge("older", 90_000);
-      List<RegistryEntry> left = EventLoopWaiter.await(adminClient.list());
-      assertEquals(List.of(), retention.expiredPurges(left, RETENTION + 2, NOW_MS));
-      List<RegistryEntry> late =
-          retention.expiredPurges(left, 2 * RETENTION + 3, NOW_MS).stream()
+                  PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, expiredPurges)));
+      writePurge("older", 90_000);
+      List<RegistryEntry> remainingEntries = EventLoopWaiter.await(adminClient.list());
+      assertEquals(
+          List.of(), retention.expiredPurges(remainingEntries, RETENTION_NANOS + 2, NOW_MS));
+      List<RegistryEntry> laterExpired =
+          retention.expiredPurges(remainingEntries, 2 * RETENTION_NANOS + 3, NOW_MS).stream()
               .filter(one -> one.key().endsWith("/older"))
               .toList();
-      assertEquals(1, late.size());
+      assertEquals(1, laterExpired.size());
 
       // The first leader resumes, and tries to delete with the fence that it read before.
       assertFalse(
           EventLoopWaiter.await(
               adminClient.deletePurges(
-                  PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
-      List<RegistryEntry> now = EventLoopWaiter.await(adminClient.list());
-      assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.findFence(now, KEY).value());
-      assertTrue(now.stream().anyMatch(one -> one.key().endsWith("/older")));
+                  PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, laterExpired)));
+      List<RegistryEntry> currentEntries = EventLoopWaiter.await(adminClient.list());
+      assertEquals(
+          new RegistryRecord.Task(20, "g2"), PurgeRetention.findFence(currentEntries, KEY).value());
+      assertTrue(currentEntries.stream().anyMatch(one -> one.key().endsWith("/older")));
 
       // The second leader deletes with its own, current fence.
       assertTrue(
@@ -119,8 +123,8 @@
               adminClient.deletePurges(
                   PurgeRetention.TASK,
                   new RegistryRecord.Task(20, "g2"),
-                  PurgeRetention.findFence(now, KEY),
-                  late)));
+                  PurgeRetention.findFence(currentEntries, KEY),
+                  laterExpired)));
       assertEquals(
           1,
           EventLoopWaiter.await(adminClient.list()).stream()
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -14,13 +14,13 @@
  * faulty variant violates one.
  */
 class LeadershipModelExperimentTest {
-  private static Map<String, Object> play(LeadershipVariant variant, int runs) {
+  private static Map<String, Object> runVariant(LeadershipVariant variant, int runs) {
     return SeededRuns.runMany(LeadershipModelExperiment.model(variant), 1, runs);
   }
 
   @Test
   void oneLeaderAtATimeAndNoEffectOfLowerTermAfterHigher() {
-    Map<String, Object> sums = play(LeadershipVariant.RIGHT, 150);
+    Map<String, Object> sums = runVariant(LeadershipVariant.RIGHT, 150);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
     assertTrue((long) sums.get("refused") > 0, "late acts came, and were refused");
   }
@@ -28,6 +28,6 @@
   @ParameterizedTest
   @EnumSource(value = LeadershipVariant.class, names = "RIGHT", mode = EnumSource.Mode.EXCLUDE)
   void wrongVariantViolatesAnInvariant(LeadershipVariant variant) {
-    assertTrue((long) play(variant, 150).get("failed") > 0);
+    assertTrue((long) runVariant(variant, 150).get("failed") > 0);
   }
 }
