--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -196,19 +196,20 @@
         .figure("unjudged", testbed.auditor().unjudgedShare())
         .figure("wrong", observer.violations())
         .figure("wrong_by_rules", testbed.auditor().violations())
-        .bar("terms never fall, one term is one owner's", observer.violations().isEmpty())
+        .bar("terms never decrease, and each term has one leader", observer.violations().isEmpty())
         .bar(
-            "one owner of each task in the end",
+            "each task has exactly one leader at the end",
             states.leaderCounts.values().stream().allMatch(count -> count == 1))
         .bar(
-            "owned again within a lease and 2 s, once calm",
+            "a leader deletes purges within a lease, 2 s and the settle time after the faults",
             observer.longestVacancyMillis() <= MAX_VACANCY_MILLIS
                 && oldestPurgeMillis < MAX_OLDEST_PURGE_MILLIS)
-        .bar("rules kept", testbed.auditor().violations().isEmpty())
+        .bar("no request rule violated", testbed.auditor().violations().isEmpty())
         .bar("no GET lost", outcomes.get("lost") == 0)
-        .bar("one answer each", outcomes.get("twice") == 0)
+        .bar("no request answered twice", outcomes.get("twice") == 0)
         .bar(
-            "not void: four fifths judged", testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
-        .bar("no failure in the logs", testbed.severeLines() == 0);
+            "at least four fifths of the answers judged",
+            testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
+        .bar("no SEVERE line in the logs", testbed.severeLines() == 0);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
@@ -63,7 +63,7 @@
       case 7 -> {
         candidate.stepWallClock();
         if (random.nextInt(POWER_LOSS_ONE_IN) == 0) {
-          simulation.trace("all lose power");
+          simulation.trace("power loss of all gateways");
           candidates.forEach(this::crash);
         }
       }
@@ -76,7 +76,7 @@
     candidate.pauseAtLeastUntil(simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS));
     simulation.trace(
         candidate.name()
-            + " stands still for "
+            + " is paused for "
             + (candidate.pausedUntilNanos() - simulation.nowNanos()) / Simulation.NANOS_PER_MILLI
             + " ms");
   }
@@ -85,7 +85,7 @@
     if (candidate.isRunning()
         && !candidate.isPaused()
         && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
-      simulation.trace(candidate.name() + " lets " + LeadershipModel.TASKS.get(task) + " go");
+      simulation.trace(candidate.name() + " resigns " + LeadershipModel.TASKS.get(task));
       long idleFromNanos = candidate.tasks().resign(task);
       candidate.schedule(
           idleFromNanos + random.nextLong(MAX_EXIT_DELAY_NANOS), () -> crash(candidate));
@@ -124,7 +124,7 @@
     List<Integer> shuffled = new ArrayList<>(IntStream.range(0, count).boxed().toList());
     Collections.shuffle(shuffled, new Random(random.nextLong()));
     List<Integer> oneSide = shuffled.subList(0, 1 + random.nextInt(count - 1));
-    simulation.trace("a partition: " + oneSide);
+    simulation.trace("partition, one side: " + oneSide);
     boolean[] side = new boolean[count];
     oneSide.forEach(index -> side[index] = true);
     model.links().partitionFor(random.nextLong(MAX_PARTITION_NANOS), side);
@@ -151,7 +151,7 @@
       if (checksWithCurrentVoters > 1) {
         checksWithCurrentVoters = 0;
         voters.advance();
-        simulation.trace("the electorate becomes " + voters.at(voters.current()));
+        simulation.trace("the voters become " + voters.at(voters.current()));
         model
             .candidates()
             .forEach(
@@ -168,7 +168,7 @@
    * every gateway the last voter configuration.
    */
   void endFaults() {
-    simulation.trace("calm");
+    simulation.trace("faults ended");
     model.links().restoreAll();
     model.voters().skipToLast();
     model
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
@@ -37,17 +37,17 @@
           leaders
               .append(' ')
               .append(candidate.name())
-              .append(" under ")
+              .append(" with term ")
               .append(candidate.leadership(task).term());
         }
       }
       String name = LeadershipModel.TASKS.get(task);
       if (leaderCount > 1) {
-        throw new InvariantViolation("two hold " + name + ":" + leaders);
+        throw new InvariantViolation("more than one leader of " + name + ":" + leaders);
       }
       if (leaderCount > 0 && !majority) {
         throw new InvariantViolation(
-            "no majority of voters within a lease, and" + leaders + " holds " + name);
+            "no majority of voters could vote within a lease, but" + leaders + " leads " + name);
       }
       if (simulation.nowNanos() > simulation.faultsUntilNanos()) {
         checkVacancy(task, leaderCount > 0);
@@ -68,9 +68,9 @@
     if (longestVacancyNanos > LeadershipModel.MAX_VACANCY_NANOS
         && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
       throw new InvariantViolation(
-          "calm, and "
+          "faults ended, but "
               + LeadershipModel.TASKS.get(task)
-              + " had no owner for "
+              + " had no leader for "
               + longestVacancyNanos / Simulation.NANOS_PER_MILLI
               + " ms");
     }
@@ -96,11 +96,11 @@
           model.candidates().stream().filter(candidate -> candidate.isLeader(taskIndex)).count();
       if (leaders != 1 && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
         throw new InvariantViolation(
-            "calm, and "
+            "faults ended, but "
                 + LeadershipModel.TASKS.get(task)
                 + " has "
                 + leaders
-                + " owners: "
+                + " leaders instead of 1, states: "
                 + model.candidates().stream()
                     .map(
                         candidate ->
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
@@ -36,7 +36,7 @@
   private record Target(int drawnGateway, int endpoint, boolean targetsLeader) {
     @Override
     public String toString() {
-      return targetsLeader ? "the owner" : "g" + drawnGateway;
+      return targetsLeader ? "the leader" : "g" + drawnGateway;
     }
   }
 
@@ -96,7 +96,7 @@
           timetable.addFault(
               atMillis,
               durationMillis,
-              "stand " + target,
+              "pause " + target,
               () -> testbed.pause(resolveGateway(target), durationMillis),
               () -> {});
       case 2 -> addTermination(atMillis, Math.max(durationMillis, MIN_TERMINATION_MILLIS), target);
@@ -111,7 +111,7 @@
           timetable.addFault(
               atMillis,
               durationMillis,
-              "lossy, late by up to 3 s",
+              "lossy, delays of up to 3 s",
               () -> testbed.setAllLinks(LOSSY_AND_SLOW),
               () -> testbed.setAllLinks(LinkCondition.HEALTHY));
       case 5, 6 -> addHang(atMillis, durationMillis, "e" + random.nextInt(EDGE_CACHES));
@@ -123,7 +123,7 @@
     timetable.addFault(
         atMillis,
         durationMillis,
-        "endpoint " + endpoint + " silent",
+        "endpoint " + endpoint + " does not answer",
         () -> setBehavior(endpoint, EndpointBehavior.SILENT),
         () -> setBehavior(endpoint, EndpointBehavior.ANSWERS));
   }
@@ -153,7 +153,7 @@
     timetable.addFault(
         atMillis,
         durationMillis,
-        "term " + target,
+        "terminate " + target,
         () -> {
           terminated[0] = resolveGateway(target);
           EventLoopWaiter.runOnLoop(
@@ -190,7 +190,7 @@
           testbed.resumeCache(cache);
         });
     if (random.nextBoolean()) {
-      timetable.add(atMillis + durationMillis / 2, "news of caches", testbed::changeDiscovery);
+      timetable.add(atMillis + durationMillis / 2, "change discovery", testbed::changeDiscovery);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -44,21 +44,19 @@
     print(runs, out);
     runs.names().forEach(name -> runs.reportMeans(name, result));
     return result
+        .bar("a cold cache is never overloaded", runs.allMatch("cold_fell", count -> count == 0))
         .bar(
-            "a cold cache never gets more than it bears",
-            runs.allMatch("cold_fell", count -> count == 0))
-        .bar(
-            "calls at caches that are out, once known: five times fewer",
+            "with health checks, at most a fifth of the requests to hung caches from 5 s on",
             runs.mean(LedTasks.ALONE, CALLS) >= MIN_CALL_RATIO * runs.mean(LedTasks.PROBE, CALLS))
         .bar(
-            "service while out and after, together not lower",
+            "service during and after the outage not lower by more than 0.01",
             isServiceKept(runs, LedTasks.PROBE) && isServiceKept(runs, LedTasks.PROBE_AND_WARM));
   }
 
   private static void print(PairedRuns<LedTasks> runs, PrintStream out) {
     out.printf(
         Locale.ROOT,
-        "%-36s %12s %12s %16s   each seed's gain by probe, by both%n",
+        "%-36s %12s %12s %16s   gain per seed by probe, by both%n",
         "",
         "alone",
         "probe",
--- a/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/PurgeFenceObserver.java
@@ -103,10 +103,10 @@
     String leader = fence.getString("by");
     String previous = leadersByTerm.putIfAbsent(term, leader);
     if (term < highestTerm) {
-      addViolation("term " + term + " of " + leader + " after " + highestTerm);
+      addViolation("fence: term " + term + " of " + leader + " written after term " + highestTerm);
     }
     if (previous != null && !previous.equals(leader)) {
-      addViolation("term " + term + " is " + previous + "'s and " + leader + "'s");
+      addViolation("fence: term " + term + " written by " + previous + " and by " + leader);
     }
     if (term > highestTerm && leaderTerminationNanos > 0) {
       longestSuccessionNanos =
--- a/lab/src/main/java/org/amberpath/lab/leadership/RegistryKeys.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/RegistryKeys.java
@@ -59,7 +59,7 @@
   void restoreFromBackup() {
     available = false;
     long lostTerms = simulation.random().nextLong(MAX_LOST_TERMS);
-    simulation.trace("the registry is restored from a backup, " + lostTerms + " terms back");
+    simulation.trace("the registry is restored from a backup, " + lostTerms + " terms lost");
     simulation.after(
         LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS)
             + simulation.random().nextLong(Simulation.NANOS_PER_SECOND),
--- a/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
@@ -97,7 +97,7 @@
                 + sender.name()
                 + "'s term "
                 + term
-                + " took effect after "
+                + " took effect after term "
                 + durableTerms[task]);
       }
       durableTerms[task] = term;
@@ -127,11 +127,11 @@
       if (!effect.delayedInSending && !previous.delayedInSending) {
         throw new InvariantViolation(
             LeadershipModel.TASKS.get(task)
-                + ": acts of g"
+                + ": effects of g"
                 + previous.candidate
                 + " and g"
                 + effect.candidate
-                + " within "
+                + " overlap by "
                 + (previous.endNanos - effect.startNanos) / Simulation.NANOS_PER_MILLI
                 + " ms");
       }
--- a/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -88,7 +88,7 @@
       simulation.after(
           random.nextLong(Simulation.NANOS_PER_SECOND), () -> target.receive(generation, message));
     }
-    simulation.trace("old datagrams are sent again");
+    simulation.trace("recorded datagrams are replayed");
   }
 
   /** Ends loss, duplication and long delays, and restores all links. */
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -86,7 +86,7 @@
       result.figure("served_without", rounded(servedWithoutFleet));
       if (expectedMembers == plan.gateways) {
         result.bar(
-            "served within 0.02 of a day without",
+            "share of requests served at most 0.02 lower than without [fleet]",
             served >= servedWithoutFleet - MAX_SERVICE_DIFFERENCE);
       }
     }
@@ -131,17 +131,17 @@
       result
           .figure("settled_after_ms", settledAfterMillis)
           .bar(
-              "every view is those that run within 10 s of the last fault"
+              "every view contains all gateways within 10 s of the last fault"
                   + (incompleteViews.isEmpty() ? "" : ": " + incompleteViews),
               settledAfterMillis >= 0);
       reportFleet(testbed, observer, result);
       result
           .bar("no GET lost", outcomes.get("lost") == 0)
-          .bar("one answer each", outcomes.get("twice") == 0)
+          .bar("no request answered twice", outcomes.get("twice") == 0)
           .bar(
-              "not void: four fifths judged",
+              "at least four fifths of the answers judged",
               testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
-          .bar("no failure in the logs", testbed.severeLines() == 0);
+          .bar("no SEVERE line in the logs", testbed.severeLines() == 0);
       return served;
     }
   }
@@ -158,7 +158,10 @@
       Thread.sleep(MAX_SETTLE_MILLIS);
       double served = testbed.servedShare(startedNanos, System.nanoTime());
       out.println(
-          "without [fleet]: " + testbed.settle() + ", wrong: " + testbed.auditor().violations());
+          "without [fleet]: "
+              + testbed.settle()
+              + ", violations: "
+              + testbed.auditor().violations());
       return served;
     }
   }
@@ -186,12 +189,14 @@
         .figure("most_parts", rounded(observer.maxShareSum()))
         .figure("looks", observer.observations())
         .figure("wrong", testbed.auditor().violations())
-        .bar("no rule broken, nobody there called lost", testbed.auditor().violations().isEmpty())
         .bar(
-            "under the ceiling in every second",
+            "no rule violated, no running gateway reported as lost",
+            testbed.auditor().violations().isEmpty())
+        .bar(
+            "at most 120 datagrams and 48 KiB sent by a gateway in any second",
             links.maxDatagramsPerSecond() <= MAX_DATAGRAMS_PER_SECOND
                 && links.maxBytesPerSecond() <= MAX_BYTES_PER_SECOND)
-        .bar("parts sum to one at most", observer.maxShareSum() <= 1 + ROUNDING);
+        .bar("shares sum to at most one", observer.maxShareSum() <= 1 + ROUNDING);
   }
 
   /**
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
@@ -110,7 +110,7 @@
         Math.min(
             simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS),
             simulation.faultsUntilNanos()));
-    simulation.trace(member.name() + " stands still");
+    simulation.trace(member.name() + " is paused");
   }
 
   private void partitionIfAllowed() {
@@ -121,13 +121,13 @@
     for (int index = 0; index < side.length; index++) {
       side[index] = random.nextBoolean();
     }
-    simulation.trace("a partition");
+    simulation.trace("partition");
     links.partitionFor(random.nextLong(MAX_PARTITION_NANOS), side);
   }
 
   private void cutOneWay(SimulatedMember from) {
     int to = random.nextInt(model.members().size());
-    simulation.trace("from " + from.name() + " to g" + to + " nothing comes through");
+    simulation.trace("link from " + from.name() + " to g" + to + " is cut");
     links.cutFor(random.nextLong(MAX_CUT_NANOS), from.index(), to);
   }
 
@@ -138,7 +138,7 @@
   void endFaults() {
     model.faultsEnded();
     model.network().restore();
-    simulation.trace("calm");
+    simulation.trace("faults ended");
     if (model.members().stream().limit(SEED_MEMBERS).noneMatch(SimulatedMember::isRunning)) {
       model.members().get(0).restartUnpaused();
     }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -168,12 +168,18 @@
     List<String> running = runningNames();
     if (!protocol.presentNames().equals(running)) {
       throw new InvariantViolation(
-          "calm, and " + member.name() + " holds " + protocol.presentNames() + " of " + running);
+          "faults ended, but the view of "
+              + member.name()
+              + " is "
+              + protocol.presentNames()
+              + ", running are "
+              + running);
     }
     if (protocol.phase() != SwimProtocol.Phase.SETTLED
         && running.size() * 2 > members.size()
         && protocol.countedMembers() < 2 * running.size()) {
-      throw new InvariantViolation("calm, and " + member.name() + " is " + protocol.phase());
+      throw new InvariantViolation(
+          "faults ended, but " + member.name() + " is in phase " + protocol.phase());
     }
   }
 
@@ -194,7 +200,7 @@
     }
     if (shareSum > 1 + ROUNDING) {
       throw new InvariantViolation(
-          "shares sum to "
+          "shares sum to more than 1, namely "
               + shareSum
               + ": "
               + members.stream()
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -93,7 +93,8 @@
             lost ->
                 testbed
                     .auditor()
-                    .violation(slot.name() + " calls " + lost.name() + " lost, which runs"));
+                    .violation(
+                        slot.name() + " reports " + lost.name() + " as lost, which is running"));
   }
 
   private boolean isFaultFree(GatewaySlot slot, long nowNanos) {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -56,11 +56,11 @@
       long seed, List<Integer> sizes, List<Integer> probeIntervalsMillis, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
     out.println(
-        "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 %"
-            + " loss");
+        "figures per gateway; suspicions and losses: false reports about running members, at 5 %"
+            + " loss of datagrams");
     out.println(
         "size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  crash"
-            + " p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram"
+            + " p50, p99, max   join p99  healed p99   CPU us/s per gateway, codec us per datagram"
             + " sent, read");
     for (int size : sizes) {
       for (long probeIntervalMillis : probeIntervalsMillis) {
@@ -73,8 +73,8 @@
       double heartbeatsPerSecond = 2.0 * (size - 1);
       out.printf(
           Locale.ROOT,
-          "%4d  heartbeats to all, one each 0.5 s, lost after 5 missed: %.0f datagrams/s, "
-              + "%.0f bytes/s a gateway; crash heard of after 2.5 to 3 s by each%n",
+          "%4d  all-to-all heartbeats, one per 0.5 s, lost after 5 missed: %.0f datagrams/s, "
+              + "%.0f bytes/s per gateway; crash detected by each after 2.5 to 3 s%n",
           size,
           heartbeatsPerSecond,
           heartbeatsPerSecond * HEARTBEAT_BYTES);
@@ -149,11 +149,13 @@
         .figure(prefix + "_healed_p99_ms", untilHealed.getValueAtPercentile(99))
         .figure(prefix + "_false_losses_an_hour", fleet.falseLosses() * MINUTES_PER_HOUR / size)
         .bar(
-            prefix + ": all know all in the end",
+            prefix + ": every view is complete at the end",
             untilHealed.getMaxValue() < MAX_HEALED_NANOS / Simulation.NANOS_PER_MILLI)
         .bar(
-            prefix + ": under 60 datagrams in any second of the lossy minute",
+            prefix + ": at most 60 datagrams in any second of the lossy minute",
             maxDatagramsWhileLossy <= MAX_LOSSY_DATAGRAMS)
-        .bar(prefix + ": under 120 in any second", fleet.maxDatagramsPerSecond() <= MAX_DATAGRAMS);
+        .bar(
+            prefix + ": at most 120 datagrams in any second",
+            fleet.maxDatagramsPerSecond() <= MAX_DATAGRAMS);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
@@ -134,10 +134,20 @@
     currentSecond = second;
     model.figures().datagramSent(sentInSecond);
     if (sentInSecond > MAX_DATAGRAMS_PER_SECOND) {
-      throw new InvariantViolation(name + " sent " + sentInSecond + " datagrams in a second");
+      throw new InvariantViolation(
+          name
+              + " sent "
+              + sentInSecond
+              + " datagrams in a second, over the limit of "
+              + MAX_DATAGRAMS_PER_SECOND);
     }
     if (sent.updates().size() > model.timings().maxUpdatesPerMessage()) {
-      throw new InvariantViolation(name + " sent " + sent.updates().size() + " rumours at once");
+      throw new InvariantViolation(
+          name
+              + " sent a datagram with "
+              + sent.updates().size()
+              + " updates, over the limit of "
+              + model.timings().maxUpdatesPerMessage());
     }
     model.network().send(this, model.member(recipientAddress), sent);
   }
@@ -206,7 +216,7 @@
       model.figures().runningMemberLost();
       if (model.isConvergenceDue()) {
         throw new InvariantViolation(
-            name + " holds " + memberName + " for lost, which runs and can be reached");
+            name + " reports " + memberName + " as lost, which is running and reachable");
       }
     }
   }
@@ -218,6 +228,6 @@
 
   @Override
   public void nameConflictDetected(String otherAddress) {
-    throw new InvariantViolation(name + " was told of a twin at " + otherAddress);
+    throw new InvariantViolation(name + " detected a name conflict with " + otherAddress);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -110,11 +110,11 @@
     long granted = forwarders.stream().filter(SimulatedForwarder::isGranted).count();
     if (granted < forwarders.size()) {
       throw new InvariantViolation(
-          "calm, and only "
+          "faults ended, but only "
               + granted
               + " of "
               + forwarders.size()
-              + " are granted: "
+              + " forwarders hold a grant; planners: "
               + planners.stream().map(planner -> planner.leadership().state()).toList());
     }
     return figures.report(steps);
@@ -128,11 +128,17 @@
       }
       if (sum > bounds[resource] + ROUNDING) {
         throw new InvariantViolation(
-            "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
+            "resource "
+                + resource
+                + ": "
+                + sum
+                + " of "
+                + bounds[resource]
+                + " may be used, over the bound");
       }
     }
     if (planners.stream().filter(SimulatedPlanner::mayGrant).count() > 1) {
-      throw new InvariantViolation("two planners may grant");
+      throw new InvariantViolation("more than one planner may grant");
     }
   }
 
@@ -152,7 +158,7 @@
       case 1, 2 -> pause(planner);
       case 3 -> {
         if (planner.isRunning() && !planner.isPaused()) {
-          simulation.trace("planner " + planner.index() + " is told to stop");
+          simulation.trace("planner " + planner.index() + " resigns and is restarted later");
           planner.leadership().resign(planner.localNanos());
           restartLater(planner, planner::restart);
         }
@@ -173,7 +179,7 @@
     simulation.trace(
         "planner "
             + planner.index()
-            + " stands still until "
+            + " is paused until "
             + (planner.pausedUntilNanos() - Simulation.EPOCH_NANOS) / 1000);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
@@ -209,7 +209,7 @@
     @Override
     protected void keyGranted(long term) {
       model.figures().termStarted();
-      simulation.trace("planner " + index + " holds the key under term " + term);
+      simulation.trace("planner " + index + " holds the key with term " + term);
     }
 
     @Override
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
@@ -44,14 +44,13 @@
     print(runs, out);
     runs.names().forEach(name -> runs.reportMeans(name, result));
     return result.bar(
-        "a cold cache never gets more than it bears",
-        runs.allMatch("cold_fell", count -> count == 0));
+        "a cold cache is never overloaded", runs.allMatch("cold_fell", count -> count == 0));
   }
 
   private static void print(PairedRuns<OpeningPolicy> runs, PrintStream out) {
     out.printf(
         Locale.ROOT,
-        "%-40s %12s %12s %12s   by returns against at once, each seed%n",
+        "%-40s %12s %12s %12s   by returns versus at once, per seed%n",
         "",
         "at once",
         "staggered",
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -22,7 +22,7 @@
   void oneLeaderAtATimeAndNoEffectOfLowerTermAfterHigher() {
     Map<String, Object> sums = runVariant(LeadershipVariant.RIGHT, 150);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
-    assertTrue((long) sums.get("refused") > 0, "late acts came, and were refused");
+    assertTrue((long) sums.get("refused") > 0, "no effect with a stale term was rejected");
   }
 
   @ParameterizedTest
