--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -20,11 +20,12 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Real gateways of which one at a time deletes old purges from a registry, while leaders are
- * killed, paused, terminated, cut off one way and both, messages are lost and late, and endpoints
- * of the registry are silent. The registry's own history judges ({@link PurgeFenceObserver}).
+ * Fault-injection experiment with real gateway processes that elect a leader to delete expired
+ * purges from a registry. Gateways are killed, paused, terminated and cut off in one or both
+ * directions, messages are lost and delayed, caches hang, and registry endpoints stop answering.
+ * {@link PurgeFenceObserver} checks the fence that leaders write to the registry.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // Closing the testbed blocks; an interrupt ends the experiment.
 public final class LeadershipExperiment {
   private static final String PREFIX = "amberpath/lab/";
   private static final String FIRST_VOTERS = "g0, g1, g2";
@@ -32,40 +33,59 @@
   private static final int MIN_GATEWAYS_TO_CHANGE_VOTERS = 5;
   private static final int ENDPOINTS = 3;
   private static final int REQUESTS_PER_SECOND = 20;
-  private static final int BY_LEASE_ONE_IN = 3;
+  private static final int ELECTED_BY_LEASE_ONE_IN = 3;
   private static final long WARM_UP_MILLIS = 7000;
   private static final long PURGE_INTERVAL_MILLIS = 100;
-  private static final long OBSERVE_MILLIS = 10;
-  private static final long CALM_MILLIS = 14_000;
+  private static final long OBSERVATION_INTERVAL_MILLIS = 10;
+  private static final long FAULT_FREE_MILLIS = 14_000;
   private static final long LEASE_MILLIS = 3000;
   private static final long SETTLE_MILLIS = 600;
 
-  /** A lease and two seconds more: by then a task has a leader again, if voters are there. */
+  /**
+   * Longest time that a task may be without a leader once faults have ended: a lease, two seconds
+   * and the settle time. Assumes that a majority of voters can be reached.
+   */
   private static final long MAX_VACANCY_MILLIS = LEASE_MILLIS + 2000 + SETTLE_MILLIS;
 
-  private static final long MAX_LEFT_MILLIS = 3000;
+  private static final long MAX_OLDEST_PURGE_MILLIS = 3000;
   private static final double MAX_UNJUDGED_SHARE = 0.2;
 
-  /** What is to be tried. */
+  /**
+   * Parameters of an experiment.
+   *
+   * @param seed the seed of the timetable of faults; seeds divisible by 3 elect by the registry's
+   *     leases
+   * @param gateways the number of gateway processes
+   * @param seconds the length of the period in which faults begin
+   * @param folder the directory in which the files of a run are created
+   */
   public record Plan(long seed, int gateways, int seconds, Path folder) {}
 
-  /** What the gateways say of the tasks in the end. */
-  private record TaskStates(Map<String, Long> leaders, Map<String, Long> done) {}
+  /**
+   * What all gateways report of each task at the end of a run.
+   *
+   * @param leaderCounts by task name, the number of gateways that report that they lead the task
+   * @param workCounts by task name, the sum of the gateways' work counters
+   */
+  private record TaskStates(Map<String, Long> leaderCounts, Map<String, Long> workCounts) {}
 
   private final Plan plan;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   private final PurgeFenceObserver observer = new PurgeFenceObserver(registry, PREFIX);
 
-  /** In one run of three the registry's leases say who leads. */
-  private final boolean byLease;
+  /**
+   * Whether leaders are elected by the registry's leases, as in one run of three; otherwise by
+   * votes.
+   */
+  private final boolean electedByLease;
 
   private LeadershipExperiment(Plan plan) {
     this.plan = plan;
-    byLease = plan.seed() % BY_LEASE_ONE_IN == 0;
+    electedByLease = plan.seed() % ELECTED_BY_LEASE_ONE_IN == 0;
   }
 
-  /** Runs a timetable from the seed. */
+  /** Draws a timetable of faults from the seed, runs it, and reports the figures and bars. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     return new LeadershipExperiment(plan).run(out);
   }
@@ -73,7 +93,8 @@
   private ExperimentReport run(PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(plan.seed()).figure("gateways", plan.gateways());
     String sections = commonSections();
-    String ownSections = sections + (byLease ? "by = lease\n" : "voters = " + FIRST_VOTERS + "\n");
+    String ownSections =
+        sections + (electedByLease ? "by = lease\n" : "voters = " + FIRST_VOTERS + "\n");
     Path folder = Files.createDirectories(plan.folder().resolve("owner-" + plan.seed()));
     try (ProcessTestbed testbed =
         new ProcessTestbed(
@@ -89,20 +110,20 @@
           vertx,
           () -> {
             vertx.setPeriodic(PURGE_INTERVAL_MILLIS, tick -> observer.writePurge());
-            vertx.setPeriodic(OBSERVE_MILLIS, tick -> observer.observe());
+            vertx.setPeriodic(OBSERVATION_INTERVAL_MILLIS, tick -> observer.observe());
           });
       Thread.sleep(WARM_UP_MILLIS);
       LeadershipTimetable faults =
           new LeadershipTimetable(
               new SplittableRandom(plan.seed()), testbed, vertx, registry, observer);
-      if (!byLease && plan.gateways() >= MIN_GATEWAYS_TO_CHANGE_VOTERS) {
+      if (!electedByLease && plan.gateways() >= MIN_GATEWAYS_TO_CHANGE_VOTERS) {
         addVoterChange(faults.timetable(), testbed, sections);
       }
       faults.drawFaults(plan.seconds());
       faults.timetable().print(out);
       faults.timetable().play(System.nanoTime());
-      EventLoopWaiter.runOnLoop(vertx, observer::calm);
-      Thread.sleep(CALM_MILLIS);
+      EventLoopWaiter.runOnLoop(vertx, observer::faultsEnded);
+      Thread.sleep(FAULT_FREE_MILLIS);
       report(testbed, faults, result);
     } finally {
       EventLoopWaiter.await(vertx.close());
@@ -148,8 +169,8 @@
       for (Object each : testbed.adminPage(gateway, "/owner").getJsonArray("tasks")) {
         JsonObject task = (JsonObject) each;
         String name = task.getString("task");
-        states.leaders.merge(name, task.getBoolean("holds") ? 1L : 0L, Long::sum);
-        states.done.merge(name, task.getLong("done"), Long::sum);
+        states.leaderCounts.merge(name, task.getBoolean("holds") ? 1L : 0L, Long::sum);
+        states.workCounts.merge(name, task.getLong("done"), Long::sum);
       }
     }
     return states;
@@ -158,7 +179,7 @@
   private void report(ProcessTestbed testbed, LeadershipTimetable faults, ExperimentReport result)
       throws Exception {
     TaskStates states = taskStates(testbed);
-    long leftMillis = EventLoopWaiter.callOnLoop(vertx, observer::oldestPurgeMillis);
+    long oldestPurgeMillis = EventLoopWaiter.callOnLoop(vertx, observer::oldestPurgeMillis);
     Map<String, Long> outcomes = testbed.settle();
     outcomes.forEach(result::figure);
     testbed.auditor().figures().forEach(result::figure);
@@ -166,8 +187,8 @@
         .figure("faults", faults.timetable().size() / 2)
         .figure("owners", observer.leaderTerms())
         .figure("terms_that_acted", observer.termsThatActed())
-        .figure("by", byLease ? "lease" : "votes")
-        .figure("done", new JsonObject(new LinkedHashMap<>(states.done)))
+        .figure("by", electedByLease ? "lease" : "votes")
+        .figure("done", new JsonObject(new LinkedHashMap<>(states.workCounts)))
         .figure("calls_at_hung_caches", faults.callsToHungCaches())
         .figure("longest_until_heir_acts_ms", observer.longestSuccessionMillis())
         .figure("purges", observer.purgeCount())
@@ -175,18 +196,20 @@
         .figure("unjudged", testbed.auditor().unjudgedShare())
         .figure("wrong", observer.violations())
         .figure("wrong_by_rules", testbed.auditor().violations())
-        .bar("terms never fall, one term is one owner's", observer.violations().isEmpty())
+        .bar("terms never decrease, and each term has one leader", observer.violations().isEmpty())
         .bar(
-            "one owner of each task in the end",
-            states.leaders.values().stream().allMatch(count -> count == 1))
+            "each task has exactly one leader at the end",
+            states.leaderCounts.values().stream().allMatch(count -> count == 1))
         .bar(
-            "owned again within a lease and 2 s, once calm",
-            observer.longestVacancyMillis() <= MAX_VACANCY_MILLIS && leftMillis < MAX_LEFT_MILLIS)
-        .bar("rules kept", testbed.auditor().violations().isEmpty())
+            "a leader deletes purges within a lease, 2 s and the settle time after the faults",
+            observer.longestVacancyMillis() <= MAX_VACANCY_MILLIS
+                && oldestPurgeMillis < MAX_OLDEST_PURGE_MILLIS)
+        .bar("no request rule violated", testbed.auditor().violations().isEmpty())
         .bar("no GET lost", outcomes.get("lost") == 0)
-        .bar("one answer each", outcomes.get("twice") == 0)
+        .bar("no request answered twice", outcomes.get("twice") == 0)
         .bar(
-            "not void: four fifths judged", testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
-        .bar("no failure in the logs", testbed.severeLines() == 0);
+            "at least four fifths of the answers judged",
+            testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
+        .bar("no SEVERE line in the logs", testbed.severeLines() == 0);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
@@ -5,9 +5,10 @@
 import org.amberpath.lab.simulation.Simulation;
 
 /**
- * What must hold after each step of the leadership model: one leader of a task at most, none
- * without a majority of voters within the last lease, and in the calm no task without a leader for
- * longer than a succession may take.
+ * Invariants that are checked after each step of the leadership model: a task has at most one
+ * leader; it has none if no majority of voters could vote within the last lease; and after the
+ * faults have ended no task lacks a leader for longer than {@link
+ * LeadershipModel#MAX_VACANCY_NANOS}.
  */
 final class LeadershipInvariants {
   private final LeadershipModel model;
@@ -20,9 +21,13 @@
     simulation = model.simulation();
   }
 
-  /** Checks them; throws {@link InvariantViolation}. */
+  /**
+   * Checks the invariants of every task.
+   *
+   * @throws InvariantViolation if one does not hold
+   */
   void check() {
-    boolean majority = model.byRegistry() || majorityCouldVote();
+    boolean majority = model.electedByRegistry() || majorityCouldVote();
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
       int leaderCount = 0;
       StringBuilder leaders = new StringBuilder();
@@ -32,17 +37,17 @@
           leaders
               .append(' ')
               .append(candidate.name())
-              .append(" under ")
+              .append(" with term ")
               .append(candidate.leadership(task).term());
         }
       }
       String name = LeadershipModel.TASKS.get(task);
       if (leaderCount > 1) {
-        throw new InvariantViolation("two hold " + name + ":" + leaders);
+        throw new InvariantViolation("more than one leader of " + name + ":" + leaders);
       }
       if (leaderCount > 0 && !majority) {
         throw new InvariantViolation(
-            "no majority of voters within a lease, and" + leaders + " holds " + name);
+            "no majority of voters could vote within a lease, but" + leaders + " leads " + name);
       }
       if (simulation.nowNanos() > simulation.faultsUntilNanos()) {
         checkVacancy(task, leaderCount > 0);
@@ -63,15 +68,15 @@
     if (longestVacancyNanos > LeadershipModel.MAX_VACANCY_NANOS
         && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
       throw new InvariantViolation(
-          "calm, and "
+          "faults ended, but "
               + LeadershipModel.TASKS.get(task)
-              + " had no owner for "
+              + " had no leader for "
               + longestVacancyNanos / Simulation.NANOS_PER_MILLI
               + " ms");
     }
   }
 
-  /** Whether a majority of voters could vote at some time within the last lease. */
+  /** Returns whether a majority of voters could vote at some time within the last lease. */
   private boolean majorityCouldVote() {
     long sinceNanos =
         simulation.nowNanos() - LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS);
@@ -83,7 +88,7 @@
     return model.voters().isMajority(couldVote);
   }
 
-  /** Checks, at the end of the calm, that each task has one leader. */
+  /** Checks, at the end of the fault-free period, that each task has exactly one leader. */
   void checkEnd() {
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
       int taskIndex = task;
@@ -91,11 +96,11 @@
           model.candidates().stream().filter(candidate -> candidate.isLeader(taskIndex)).count();
       if (leaders != 1 && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
         throw new InvariantViolation(
-            "calm, and "
+            "faults ended, but "
                 + LeadershipModel.TASKS.get(task)
                 + " has "
                 + leaders
-                + " owners: "
+                + " leaders instead of 1, states: "
                 + model.candidates().stream()
                     .map(
                         candidate ->
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -13,8 +13,9 @@
 import org.amberpath.leadership.LeaseTimings;
 
 /**
- * One run of candidates, voters and recipients on a virtual clock, with the faults of {@link
- * LeadershipFaults}. What must hold is in {@link LeadershipInvariants} and {@link TaskEffects}.
+ * Simulates candidates, voters and recipients of effects on a virtual clock, with the faults of
+ * {@link LeadershipFaults}. {@link LeadershipInvariants} and {@link TaskEffects} check the
+ * invariants.
  */
 final class LeadershipModel {
   static final List<String> TASKS = List.of("probe", "sweep");
@@ -23,36 +24,41 @@
   /** How long an effect lasts at its recipient. */
   static final long EFFECT_NANOS = 300 * Simulation.NANOS_PER_MILLI;
 
-  /** How long an effect may be on its way once it is written. */
+  /** Longest time that an effect is in transit after it has been sent. */
   static final long MAX_SEND_NANOS = 200 * Simulation.NANOS_PER_MILLI;
 
-  /** How long a new leader waits: until the last effect of the one before is over. */
+  /**
+   * How long a new leader waits before it acts: until the last effect of the previous leader has
+   * ended.
+   */
   private static final long SETTLE_NANOS =
       EFFECT_NANOS + MAX_SEND_NANOS + 100 * Simulation.NANOS_PER_MILLI;
 
   static final LeaseTimings TIMINGS = new LeaseTimings(LEASE_NANOS, SETTLE_NANOS, 1000);
 
   /**
-   * How long a task may have no leader: voters wait a lease, tries come within another half, then
-   * the new leader waits.
+   * Longest time that a task may have no leader after the faults have ended: it covers the lease
+   * that restarted voters wait, the delays between campaigns (half a lease), and the settle time of
+   * the new leader.
    */
   static final long MAX_VACANCY_NANOS =
       2 * LEASE_NANOS + LEASE_NANOS / 2 + 2 * Simulation.NANOS_PER_SECOND + SETTLE_NANOS;
 
   private static final long FAULT_PERIOD_NANOS = 60 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = MAX_VACANCY_NANOS + 5 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS =
+      MAX_VACANCY_NANOS + 5 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_MESSAGE_DELAY_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_START_NANOS = Simulation.NANOS_PER_SECOND;
   private static final long MAX_FIRST_FAULT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
   private static final long MIN_FIRST_VOTER_CHANGE_NANOS = 10 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_VOTER_CHANGE_DRAW_NANOS = 20 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_GATEWAYS = 3;
-  private static final int MORE_GATEWAYS = 7;
-  private static final int BY_REGISTRY_ONE_IN = 3;
+  private static final int GATEWAY_COUNT_CHOICES = 7;
+  private static final int ELECTED_BY_REGISTRY_ONE_IN = 3;
 
   private final Simulation simulation;
   private final LeadershipVariant variant;
-  private final boolean byRegistry;
+  private final boolean electedByRegistry;
   private final List<SimulatedCandidate> candidates = new ArrayList<>();
   private final VoterStages voters;
   private final LinkMatrix links;
@@ -65,8 +71,9 @@
     this.variant = variant;
     simulation = new Simulation(seed, FAULT_PERIOD_NANOS, TimeUnit.MICROSECONDS, trace);
     SplittableRandom random = simulation.random();
-    byRegistry = variant == LeadershipVariant.RIGHT && random.nextInt(BY_REGISTRY_ONE_IN) == 0;
-    int count = MIN_GATEWAYS + random.nextInt(MORE_GATEWAYS);
+    electedByRegistry =
+        variant == LeadershipVariant.RIGHT && random.nextInt(ELECTED_BY_REGISTRY_ONE_IN) == 0;
+    int count = MIN_GATEWAYS + random.nextInt(GATEWAY_COUNT_CHOICES);
     links = new LinkMatrix(simulation, count);
     messages =
         new MessageFaults(
@@ -88,9 +95,9 @@
     return variant;
   }
 
-  /** Whether the registry's leases say who leads; voters do otherwise. */
-  boolean byRegistry() {
-    return byRegistry;
+  /** Returns whether leaders are elected by the registry's leases; otherwise by votes. */
+  boolean electedByRegistry() {
+    return electedByRegistry;
   }
 
   List<SimulatedCandidate> candidates() {
@@ -121,7 +128,7 @@
     return figures;
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     SplittableRandom random = simulation.random();
     LeadershipFaults faults = new LeadershipFaults(this);
@@ -129,13 +136,13 @@
     candidates.forEach(
         candidate -> simulation.after(random.nextLong(MAX_START_NANOS), candidate::restart));
     simulation.after(random.nextLong(MAX_FIRST_FAULT_NANOS), faults::inject);
-    if (voters.change()) {
+    if (voters.hasChange()) {
       simulation.after(
           MIN_FIRST_VOTER_CHANGE_NANOS + random.nextLong(MAX_VOTER_CHANGE_DRAW_NANOS),
           faults::advanceVoters);
     }
-    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::end);
-    long steps = simulation.run(CALM_PERIOD_NANOS, invariants::check);
+    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::endFaults);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, invariants::check);
     invariants.checkEnd();
     return figures.report(steps);
   }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipTimetable.java
@@ -10,8 +10,9 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Draws the faults of one leadership experiment. Half of them follow the leader of the moment,
- * which is looked for when the fault begins; one fault of a process at a time leaves most voters.
+ * Draws the faults of one leadership experiment. Half of the faults target the current leader,
+ * which is determined when the fault begins. The drawn durations do not overlap, so that a majority
+ * of voters keeps running.
  */
 final class LeadershipTimetable {
   private static final long FIRST_MILLIS = 500;
@@ -20,15 +21,22 @@
   private static final long MIN_TERMINATION_MILLIS = 3000;
   private static final long MIN_INTERVAL_MILLIS = 500;
   private static final long MAX_INTERVAL_MILLIS = 4000;
-  private static final int KINDS = 8;
+  private static final int FAULT_KINDS = 8;
   private static final int EDGE_CACHES = 8;
-  private static final LinkCondition LOSSY_AND_LATE = new LinkCondition(false, 0.2, 0.1, 3000);
-
-  /** What one fault is about: the gateway that was drawn or the leader, or an endpoint. */
-  private record Target(int drawn, int endpoint, boolean leader) {
+  private static final LinkCondition LOSSY_AND_SLOW = new LinkCondition(false, 0.2, 0.1, 3000);
+
+  /**
+   * Target of one fault.
+   *
+   * @param drawnGateway the index of the gateway that was drawn
+   * @param endpoint the index of the registry endpoint that was drawn
+   * @param targetsLeader whether the fault targets the current leader, if one is known, instead of
+   *     the gateway that was drawn
+   */
+  private record Target(int drawnGateway, int endpoint, boolean targetsLeader) {
     @Override
     public String toString() {
-      return leader ? "the owner" : "g" + drawn;
+      return targetsLeader ? "the leader" : "g" + drawnGateway;
     }
   }
 
@@ -59,18 +67,21 @@
     return timetable;
   }
 
-  /** Requests that came to caches while they hung. */
+  /** Returns how many requests caches received while they hung. */
   long callsToHungCaches() {
     return callsToHungCaches;
   }
 
-  /** Draws faults for so many seconds, after the steps that are there. */
+  /**
+   * Draws the faults that begin within the given number of seconds, and sorts them into the steps
+   * that the timetable already has.
+   */
   void drawFaults(int seconds) {
     long atMillis = FIRST_MILLIS;
     while (atMillis < seconds * 1000L) {
-      int drawn = random.nextInt(gateways);
+      int drawnGateway = random.nextInt(gateways);
       int endpoint = random.nextInt(gateways) % registry.endpoints().size();
-      Target target = new Target(drawn, endpoint, random.nextBoolean());
+      Target target = new Target(drawnGateway, endpoint, random.nextBoolean());
       long durationMillis = random.nextLong(MIN_FAULT_MILLIS, MAX_FAULT_MILLIS);
       addFault(atMillis, durationMillis, target);
       atMillis += durationMillis + random.nextLong(MIN_INTERVAL_MILLIS, MAX_INTERVAL_MILLIS);
@@ -79,14 +90,14 @@
   }
 
   private void addFault(long atMillis, long durationMillis, Target target) {
-    switch (random.nextInt(KINDS)) {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> addKill(atMillis, durationMillis, target);
       case 1 ->
           timetable.addFault(
               atMillis,
               durationMillis,
-              "stand " + target,
-              () -> testbed.pause(resolve(target), durationMillis),
+              "pause " + target,
+              () -> testbed.pause(resolveGateway(target), durationMillis),
               () -> {});
       case 2 -> addTermination(atMillis, Math.max(durationMillis, MIN_TERMINATION_MILLIS), target);
       case 3 ->
@@ -94,14 +105,14 @@
               atMillis,
               durationMillis,
               "cut off " + target,
-              () -> cutOff(resolve(target)),
+              () -> cutOff(resolveGateway(target)),
               () -> testbed.setAllLinks(LinkCondition.HEALTHY));
       case 4 ->
           timetable.addFault(
               atMillis,
               durationMillis,
-              "lossy, late by up to 3 s",
-              () -> testbed.setAllLinks(LOSSY_AND_LATE),
+              "lossy, delays of up to 3 s",
+              () -> testbed.setAllLinks(LOSSY_AND_SLOW),
               () -> testbed.setAllLinks(LinkCondition.HEALTHY));
       case 5, 6 -> addHang(atMillis, durationMillis, "e" + random.nextInt(EDGE_CACHES));
       default -> addSilence(atMillis, durationMillis, target.endpoint);
@@ -112,16 +123,16 @@
     timetable.addFault(
         atMillis,
         durationMillis,
-        "endpoint " + endpoint + " silent",
+        "endpoint " + endpoint + " does not answer",
         () -> setBehavior(endpoint, EndpointBehavior.SILENT),
         () -> setBehavior(endpoint, EndpointBehavior.ANSWERS));
   }
 
-  private int resolve(Target target) {
+  private int resolveGateway(Target target) {
     String leader = observer.leader();
-    return target.leader && !leader.isEmpty()
+    return target.targetsLeader && !leader.isEmpty()
         ? Integer.parseInt(leader.substring(1))
-        : target.drawn;
+        : target.drawnGateway;
   }
 
   private void addKill(long atMillis, long durationMillis, Target target) {
@@ -131,7 +142,7 @@
         durationMillis,
         "kill " + target,
         () -> {
-          killed[0] = resolve(target);
+          killed[0] = resolveGateway(target);
           testbed.kill(killed[0]);
         },
         () -> testbed.start(killed[0]));
@@ -142,10 +153,11 @@
     timetable.addFault(
         atMillis,
         durationMillis,
-        "term " + target,
+        "terminate " + target,
         () -> {
-          terminated[0] = resolve(target);
-          EventLoopWaiter.runOnLoop(vertx, () -> observer.ending("g" + terminated[0]));
+          terminated[0] = resolveGateway(target);
+          EventLoopWaiter.runOnLoop(
+              vertx, () -> observer.terminationRequested("g" + terminated[0]));
           testbed.terminate(terminated[0]);
         },
         () -> {
@@ -178,7 +190,7 @@
           testbed.resumeCache(cache);
         });
     if (random.nextBoolean()) {
-      timetable.add(atMillis + durationMillis / 2, "news of caches", testbed::changeDiscovery);
+      timetable.add(atMillis + durationMillis / 2, "change discovery", testbed::changeDiscovery);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -9,8 +9,8 @@
 import org.amberpath.lab.fleet.VirtualFleet;
 
 /**
- * What it is worth that one gateway leads tasks for all: the same scenario with none, with health
- * checks, and with health checks and prefetch, paired by seed.
+ * Measures the benefit of tasks that one gateway performs for the fleet: runs the same scenario
+ * without such tasks, with health checks, and with health checks and prefetch, paired by seed.
  */
 public final class LeadershipValueExperiment {
   private static final int MIN_CALL_RATIO = 5;
@@ -20,7 +20,12 @@
 
   private LeadershipValueExperiment() {}
 
-  /** Runs so many seeds, each in all variants, and prints the means, of the whole fleet. */
+  /**
+   * Runs each seed in all variants, and prints the means of the figures of the entire fleet.
+   *
+   * @param seed the first seed
+   * @param pairs the number of seeds
+   */
   public static ExperimentReport run(
       long seed, int gateways, int caches, int pairs, PrintStream out) {
     PairedRuns<LedTasks> runs =
@@ -39,21 +44,19 @@
     print(runs, out);
     runs.names().forEach(name -> runs.reportMeans(name, result));
     return result
+        .bar("a cold cache is never overloaded", runs.allMatch("cold_fell", count -> count == 0))
         .bar(
-            "a cold cache never gets more than it bears",
-            runs.allMatch("cold_fell", count -> count == 0))
-        .bar(
-            "calls at caches that are out, once known: five times fewer",
+            "with health checks, at most a fifth of the requests to hung caches from 5 s on",
             runs.mean(LedTasks.ALONE, CALLS) >= MIN_CALL_RATIO * runs.mean(LedTasks.PROBE, CALLS))
         .bar(
-            "service while out and after, together not lower",
+            "service during and after the outage not lower by more than 0.01",
             isServiceKept(runs, LedTasks.PROBE) && isServiceKept(runs, LedTasks.PROBE_AND_WARM));
   }
 
   private static void print(PairedRuns<LedTasks> runs, PrintStream out) {
     out.printf(
         Locale.ROOT,
-        "%-36s %12s %12s %16s   each seed's gain by probe, by both%n",
+        "%-36s %12s %12s %16s   gain per seed by probe, by both%n",
         "",
         "alone",
         "probe",
--- a/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
@@ -15,7 +15,8 @@
 import org.amberpath.leadership.VoterConfiguration;
 
 /**
- * One gateway of a run: a candidate for each task, a voter, and a recipient of leaders' effects.
+ * Simulated gateway of the leadership model: a candidate for each task, a voter, and a recipient of
+ * leaders' effects.
  */
 final class SimulatedCandidate extends SimulatedProcess {
   private static final long HEARTBEAT_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
@@ -30,7 +31,7 @@
   private final long[] timerGenerations = new long[LeadershipModel.TASKS.size()];
   private final LeaderTasks tasks;
   private long wallClockOffsetMillis;
-  private long votesFromNanos;
+  private long mayVoteFromNanos;
   private long couldVoteAtNanos = Long.MIN_VALUE;
   private int voterStage;
   private LeaseAcceptor acceptor;
@@ -42,7 +43,7 @@
     simulation = model.simulation();
     this.index = index;
     tasks = new LeaderTasks(model, this);
-    wallClockStepped();
+    stepWallClock();
   }
 
   int index() {
@@ -73,17 +74,17 @@
     return voterStage;
   }
 
-  /** Starts it with no memory of earlier incarnations. */
+  /** Starts the process without any state of earlier incarnations. */
   void restart() {
     beginIncarnation();
     voterStage = model.voters().current();
     fence = new FencingGuard();
-    long mutedNanos =
+    long votingDelayNanos =
         model.variant() == LeadershipVariant.NO_WAIT_AFTER_RESTART
             ? 0
             : LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS);
-    acceptor = new LeaseAcceptor(LeadershipModel.TIMINGS, localNanos(), mutedNanos);
-    votesFromNanos = localNanos() + mutedNanos;
+    acceptor = new LeaseAcceptor(LeadershipModel.TIMINGS, localNanos(), votingDelayNanos);
+    mayVoteFromNanos = localNanos() + votingDelayNanos;
     leaderships.clear();
     tasks.processRestarted();
     for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
@@ -100,7 +101,7 @@
     if (model.variant() == LeadershipVariant.LOWEST_ALIVE) {
       return new LowestIdLeadership(name(), HEARTBEAT_TIMEOUT_NANOS, localNanos());
     }
-    return model.byRegistry() ? newRegistryLeadership(task) : newQuorumLeadership(task);
+    return model.electedByRegistry() ? newRegistryLeadership(task) : newQuorumLeadership(task);
   }
 
   private RegistryLeadership newRegistryLeadership(int task) {
@@ -141,21 +142,27 @@
     return simulation.nowNanos() / Simulation.NANOS_PER_MILLI + wallClockOffsetMillis;
   }
 
-  /** The wall clock is set anew, somewhat wrongly. */
-  void wallClockStepped() {
+  /**
+   * Steps the wall clock to a random offset of up to 300 ms from the simulated time, in either
+   * direction.
+   */
+  void stepWallClock() {
     wallClockOffsetMillis =
         simulation.random().nextLong(-MAX_WALL_CLOCK_OFFSET_MILLIS, MAX_WALL_CLOCK_OFFSET_MILLIS);
   }
 
-  /** In one case of three the wall clock goes back. */
-  void wallClockMayGoBack() {
+  /** Sets the wall clock back by up to two seconds, in one case of three. */
+  void maybeSetBackWallClock() {
     wallClockOffsetMillis -=
         simulation.random().nextInt(3) == 0
             ? simulation.random().nextLong(MAX_WALL_CLOCK_SETBACK_MILLIS)
             : 0;
   }
 
-  /** Runs a task here when, and as often as, a message of another process arrives. */
+  /**
+   * Runs a task in this process once for each copy of a message that arrives from another process;
+   * the message may be lost, delayed or duplicated.
+   */
   void deliver(int fromIndex, Runnable task) {
     model.messages().deliverOver(model.links(), fromIndex, index, this, task);
   }
@@ -175,7 +182,10 @@
     scheduleAfter(HEARTBEAT_INTERVAL_NANOS, this::sendHeartbeats);
   }
 
-  /** Runs the leadership's timer when it wants to; a timer set before does nothing. */
+  /**
+   * Schedules the next tick of a leadership at the time that it requests; a tick scheduled earlier
+   * has no effect.
+   */
   void scheduleTick(int task) {
     Leadership leadership = leaderships.get(task);
     long dueNanos = leadership.nextTickNanos();
@@ -188,14 +198,17 @@
               if (leadership instanceof QuorumLeadership quorum) {
                 quorum.wallClockRead(wallClockMillis());
               }
-              change(task, () -> leadership.tick(localNanos()));
+              runAndTrace(task, () -> leadership.tick(localNanos()));
             }
           });
     }
   }
 
-  /** Does something that may change the state of a leadership, traces it, and sets the timer. */
-  void change(int task, Runnable action) {
+  /**
+   * Runs an action that may change the state of a leadership, traces a change, and reschedules the
+   * next tick.
+   */
+  void runAndTrace(int task, Runnable action) {
     Leadership.State before = leaderships.get(task).state();
     action.run();
     Leadership leadership = leaderships.get(task);
@@ -228,7 +241,7 @@
             deliver(
                 voterIndex,
                 () ->
-                    change(
+                    runAndTrace(
                         task,
                         () ->
                             ((QuorumLeadership) leaderships.get(task))
@@ -237,15 +250,18 @@
         });
   }
 
-  /** Whether its acceptor could vote at some time since the given one; looks at it now. */
+  /**
+   * Returns whether the acceptor could vote at some time after the given one, as far as earlier
+   * calls and this one observed.
+   */
   boolean couldVoteSince(long timeNanos) {
-    if (isRunning() && !isPaused() && localNanos() >= votesFromNanos) {
+    if (isRunning() && !isPaused() && localNanos() >= mayVoteFromNanos) {
       couldVoteAtNanos = simulation.nowNanos();
     }
     return couldVoteAtNanos > timeNanos;
   }
 
-  /** The operators' present list of voters has reached it. */
+  /** Applies the current voter configuration to the leaderships of this gateway. */
   void updateVoters() {
     VoterStages voters = model.voters();
     if (voterStage != voters.current()) {
@@ -274,7 +290,7 @@
 
     @Override
     protected void runAnswer(Runnable answer) {
-      change(task, answer);
+      runAndTrace(task, answer);
     }
 
     @Override
--- a/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/TaskEffects.java
@@ -7,16 +7,23 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * Sends leaders' effects to three recipients: one that compares no terms, a gateway with a fence
- * that lives as long as it, and a store with a fence that outlives all power losses. No term takes
- * effect after a higher one; where terms are not compared, two leaders' effects do not overlap.
+ * Delivers leaders' effects to three recipients: one that compares no terms, a gateway with an
+ * in-memory fence, and a store whose fence survives power losses. Checks that the store applies no
+ * effect of a lower term after one of a higher term, and that the effects of two leaders do not
+ * overlap at the recipient that compares no terms, unless one of them was delayed by a pause during
+ * sending.
  */
 final class TaskEffects {
-  /** The effect of one leader at the recipient that compares no terms. */
+  /**
+   * The effect of one leader at the recipient that compares no terms.
+   *
+   * @param delayedInSending whether the sender was paused between its last check of the lease and
+   *     the sending
+   */
   private record Effect(
       int candidate, long term, long startNanos, long endNanos, boolean delayedInSending) {}
 
-  private static final int PAUSED_IN_SENDING_ONE_IN = 150;
+  private static final int PAUSE_DURING_SEND_ONE_IN = 150;
   private static final long MIN_REPLY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_REPLY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
 
@@ -32,14 +39,15 @@
   }
 
   /**
-   * Sends an effect; the sender may be paused while it writes.
+   * Sends an effect to the three recipients; the sender may be paused while it writes.
    *
-   * @return when the effect is surely over
+   * @return the simulated time in nanoseconds by which the effect has ended at the recipient that
+   *     compares no terms
    */
   long send(SimulatedCandidate sender, int task, long term) {
     model.figures().effectSent();
     SplittableRandom random = simulation.random();
-    boolean delayed = simulation.faultsActive() && random.nextInt(PAUSED_IN_SENDING_ONE_IN) == 0;
+    boolean delayed = simulation.faultsActive() && random.nextInt(PAUSE_DURING_SEND_ONE_IN) == 0;
     long sentAtNanos =
         simulation.nowNanos() + (delayed ? random.nextLong(LeaderTasks.MAX_PAUSE_NANOS) : 0);
     if (delayed) {
@@ -89,7 +97,7 @@
                 + sender.name()
                 + "'s term "
                 + term
-                + " took effect after "
+                + " took effect after term "
                 + durableTerms[task]);
       }
       durableTerms[task] = term;
@@ -102,12 +110,12 @@
     }
   }
 
-  /** A recipient says with its rejection which term it has seen. */
+  /** Handles the highest term that a recipient has seen, which it reports with a rejection. */
   private void higherTermReported(SimulatedCandidate sender, int task, long highestTerm) {
     Leadership leadership = sender.leadership(task);
     if (leadership.term() < highestTerm) {
       model.figures().higherTermSeen();
-      sender.change(task, () -> leadership.higherTermSeen(sender.localNanos(), highestTerm));
+      sender.runAndTrace(task, () -> leadership.higherTermSeen(sender.localNanos(), highestTerm));
     }
   }
 
@@ -119,11 +127,11 @@
       if (!effect.delayedInSending && !previous.delayedInSending) {
         throw new InvariantViolation(
             LeadershipModel.TASKS.get(task)
-                + ": acts of g"
+                + ": effects of g"
                 + previous.candidate
                 + " and g"
                 + effect.candidate
-                + " within "
+                + " overlap by "
                 + (previous.endNanos - effect.startNanos) / Simulation.NANOS_PER_MILLI
                 + " ms");
       }
--- a/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
@@ -4,13 +4,11 @@
 import java.util.SplittableRandom;
 import org.amberpath.leadership.VoterConfiguration;
 
-/**
- * The voter configurations that operators set one after the other in a run, and the present one.
- */
+/** The sequence of voter configurations that operators set in a run, and the current one. */
 final class VoterStages {
   private static final int MIN_GATEWAYS_TO_CHANGE = 5;
-  private static final int VOTERS = 3;
-  private static final int MORE_VOTERS = 5;
+  private static final int VOTER_COUNT = 3;
+  private static final int LARGE_VOTER_COUNT = 5;
 
   private final List<VoterConfiguration> stages;
   private int current;
@@ -19,15 +17,19 @@
     this.stages = stages;
   }
 
-  /** Draws three or five voters, and whether they change: first, joint, next. */
+  /**
+   * Draws three or five voters, and whether they change; if so, the stages are the first voters,
+   * the joint configuration, and the next voters.
+   */
   static VoterStages draw(List<String> names, SplittableRandom random) {
-    boolean enough = names.size() >= MIN_GATEWAYS_TO_CHANGE;
-    List<String> first = names.subList(0, enough && random.nextBoolean() ? MORE_VOTERS : VOTERS);
+    boolean enoughGateways = names.size() >= MIN_GATEWAYS_TO_CHANGE;
+    List<String> first =
+        names.subList(0, enoughGateways && random.nextBoolean() ? LARGE_VOTER_COUNT : VOTER_COUNT);
     VoterConfiguration firstStage = new VoterConfiguration(first, List.of());
-    if (!enough || !random.nextBoolean()) {
+    if (!enoughGateways || !random.nextBoolean()) {
       return new VoterStages(List.of(firstStage));
     }
-    List<String> next = names.subList(names.size() - VOTERS, names.size());
+    List<String> next = names.subList(names.size() - VOTER_COUNT, names.size());
     return new VoterStages(
         List.of(
             firstStage,
@@ -43,7 +45,7 @@
     return current;
   }
 
-  boolean change() {
+  boolean hasChange() {
     return stages.size() > 1;
   }
 
@@ -59,7 +61,9 @@
     current = stages.size() - 1;
   }
 
-  /** Whether these are a majority of the present configuration, or of the one before it. */
+  /**
+   * Returns whether the names form a majority of the current configuration or of the previous one.
+   */
   boolean isMajority(List<String> names) {
     return stages.get(current).isMajority(names)
         || (current > 0 && stages.get(current - 1).isMajority(names));
--- a/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -8,13 +8,13 @@
 import org.amberpath.membership.GossipMessage;
 
 /**
- * Carries datagrams between simulated members: they are lost, late and doubled, links are cut, and
- * recorded ones are replayed.
+ * Simulated network that delivers datagrams between members: it loses, delays and duplicates them,
+ * drops those on cut links, and replays recorded ones.
  */
 final class DatagramNetwork {
-  private static final long ORDINARY_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
+  private static final long DEFAULT_MAX_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
   private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI / 5;
-  private static final long SHORT_DELAY_NANOS = 5 * Simulation.NANOS_PER_MILLI;
+  private static final long SHORT_MAX_DELAY_NANOS = 5 * Simulation.NANOS_PER_MILLI;
   private static final double MAX_LOSS_RATE = 0.3;
   private static final double MAX_DUPLICATION_RATE = 0.2;
   private static final int MAX_RECORDED = 300;
@@ -28,7 +28,7 @@
   private final List<GossipMessage> recorded = new ArrayList<>();
   private double lossRate;
   private double duplicationRate;
-  private long maxDelayNanos = ORDINARY_DELAY_NANOS;
+  private long maxDelayNanos = DEFAULT_MAX_DELAY_NANOS;
 
   DatagramNetwork(Simulation simulation, LinkMatrix links, List<SimulatedMember> members) {
     this.simulation = simulation;
@@ -38,7 +38,7 @@
   }
 
   void send(SimulatedMember sender, SimulatedMember recipient, GossipMessage message) {
-    record(message);
+    maybeRecord(message);
     if (links.isCut(sender.index(), recipient.index()) || random.nextDouble() < lossRate) {
       return;
     }
@@ -51,7 +51,7 @@
     }
   }
 
-  private void record(GossipMessage message) {
+  private void maybeRecord(GossipMessage message) {
     if (recorded.size() < MAX_RECORDED || random.nextInt(RECORDED_ONE_IN) == 0) {
       recorded.add(message);
       if (recorded.size() > MAX_RECORDED) {
@@ -60,12 +60,14 @@
     }
   }
 
-  /** Draws new rates of loss and duplication, and a new longest delay. */
+  /** Draws new rates of loss and duplication, and a new maximum delay. */
   void drawConditions() {
     lossRate = random.nextDouble() * MAX_LOSS_RATE;
     duplicationRate = random.nextDouble() * MAX_DUPLICATION_RATE;
     maxDelayNanos =
-        1 + random.nextLong(random.nextBoolean() ? Simulation.NANOS_PER_SECOND : SHORT_DELAY_NANOS);
+        1
+            + random.nextLong(
+                random.nextBoolean() ? Simulation.NANOS_PER_SECOND : SHORT_MAX_DELAY_NANOS);
     simulation.trace(
         "loss "
             + lossRate
@@ -74,7 +76,10 @@
             + " ms");
   }
 
-  /** Replays old datagrams to any member. */
+  /**
+   * Replays up to {@value #REPLAYED_MESSAGES} recorded datagrams, each to a random member within a
+   * second.
+   */
   void replayRecorded() {
     for (int count = 0; count < REPLAYED_MESSAGES && !recorded.isEmpty(); count++) {
       GossipMessage message = recorded.get(random.nextInt(recorded.size()));
@@ -83,14 +88,14 @@
       simulation.after(
           random.nextLong(Simulation.NANOS_PER_SECOND), () -> target.receive(generation, message));
     }
-    simulation.trace("old datagrams are sent again");
+    simulation.trace("recorded datagrams are replayed");
   }
 
-  /** Nothing is lost, doubled or late from now on, and all links pass. */
+  /** Ends loss, duplication and long delays, and restores all links. */
   void restore() {
     lossRate = 0;
     duplicationRate = 0;
-    maxDelayNanos = ORDINARY_DELAY_NANOS;
+    maxDelayNanos = DEFAULT_MAX_DELAY_NANOS;
     links.restoreAll();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -16,23 +16,24 @@
 import org.amberpath.lab.testbed.Timetable;
 
 /**
- * Real gateways that know one another, while processes are killed, paused, terminated and started
- * anew, and links between them are cut, lossy and late. The timetable is drawn from the seed before
- * anything starts.
+ * Fault-injection experiment with real gateway processes that form a fleet: processes are killed,
+ * paused, terminated and restarted, and links between them are cut, lossy and slow. The timetable
+ * of faults is drawn from the seed before any process starts.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // Closing the testbed blocks; an interrupt ends the experiment.
 public final class MembershipExperiment {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long WARM_UP_MILLIS = 8000;
-  private static final long DISCOVERY_CHANGE_MILLIS = 400;
-  private static final long OBSERVE_MILLIS = 200;
+  private static final long DISCOVERY_CHANGE_INTERVAL_MILLIS = 400;
+  private static final long OBSERVATION_INTERVAL_MILLIS = 200;
   private static final long MAX_SETTLE_MILLIS = 10_000;
   private static final int REQUESTS_PER_SECOND = 40;
-  private static final int ONE_MORE_ONE_IN = 3;
+  private static final int EXTRA_GATEWAY_ONE_IN = 3;
 
   /**
-   * What one gateway may send in any second. The protocol's own bounds come to that: forty answers
-   * in each of two periods, eight pages of a list in each, probes and those for others.
+   * Maximum number of datagrams that a gateway may send in any second. It follows from the
+   * protocol's own bounds for two probe intervals: forty answers and eight pages of a member list
+   * in each, plus direct probes and probes on behalf of others.
    */
   private static final long MAX_DATAGRAMS_PER_SECOND = 120;
 
@@ -40,13 +41,17 @@
   private static final double MAX_UNJUDGED_SHARE = 0.2;
   private static final double MAX_SERVICE_DIFFERENCE = 0.02;
   private static final double ROUNDING = 1e-9;
-  private static final double REPORTED_DIGITS = 10_000;
+  private static final double REPORT_SCALE = 10_000;
   private static final LinkCondition LOSSY = new LinkCondition(false, 0.3, 0.1, 300);
 
   /**
-   * What is to be tried.
+   * Parameters of an experiment.
    *
-   * @param baseline whether the same runs with [fleet] off beside it
+   * @param seed the seed of the timetable of faults
+   * @param gateways the number of gateway processes
+   * @param seconds the length of the period in which faults begin
+   * @param baseline whether the same timetable is also run with [fleet] off, for comparison
+   * @param folder the directory in which the files of a run are created
    */
   public record Plan(long seed, int gateways, int seconds, boolean baseline, Path folder) {}
 
@@ -58,12 +63,12 @@
   private MembershipExperiment(Plan plan, PrintStream out) {
     this.plan = plan;
     this.out = out;
-    // In one run of three one gateway more runs than the operators expect.
-    expectedMembers = plan.seed % ONE_MORE_ONE_IN == 0 ? plan.gateways - 1 : plan.gateways;
+    // In one run of three there is one gateway more than the configured fleet size.
+    expectedMembers = plan.seed % EXTRA_GATEWAY_ONE_IN == 0 ? plan.gateways - 1 : plan.gateways;
     faults = MembershipTimetable.draw(plan.gateways, plan.seconds, new SplittableRandom(plan.seed));
   }
 
-  /** Runs the timetable, and the same with [fleet] off beside it if so planned. */
+  /** Runs the timetable, and then again with [fleet] off if the plan asks for a baseline. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     return new MembershipExperiment(plan, out).run();
   }
@@ -77,21 +82,22 @@
             .figure("faults", faults.size());
     double served = runWithFleet(result);
     if (plan.baseline) {
-      double without = runWithoutFleet();
-      result.figure("served_without", rounded(without));
+      double servedWithoutFleet = runWithoutFleet();
+      result.figure("served_without", rounded(servedWithoutFleet));
       if (expectedMembers == plan.gateways) {
         result.bar(
-            "served within 0.02 of a day without", served >= without - MAX_SERVICE_DIFFERENCE);
+            "share of requests served at most 0.02 lower than without [fleet]",
+            served >= servedWithoutFleet - MAX_SERVICE_DIFFERENCE);
       }
     }
     return result;
   }
 
   private static double rounded(double value) {
-    return Math.round(value * REPORTED_DIGITS) / REPORTED_DIGITS;
+    return Math.round(value * REPORT_SCALE) / REPORT_SCALE;
   }
 
-  private ProcessTestbed open(String folderName, int members) throws Exception {
+  private ProcessTestbed openTestbed(String folderName, int members) throws Exception {
     Path folder = Files.createDirectories(plan.folder.resolve(folderName + plan.seed));
     deleteFiles(folder);
     return new ProcessTestbed(
@@ -107,52 +113,55 @@
   }
 
   private double runWithFleet(ExperimentReport result) throws Exception {
-    try (ProcessTestbed testbed = open("fleet-", expectedMembers)) {
+    try (ProcessTestbed testbed = openTestbed("fleet-", expectedMembers)) {
       MembershipObserver observer = new MembershipObserver(testbed, plan.gateways);
       testbed.startAll();
       Thread.sleep(WARM_UP_MILLIS);
-      long beganNanos = System.nanoTime();
+      long startedNanos = System.nanoTime();
       Timetable timetable = timetable(testbed, observer);
-      for (long at = 0; at < endMillis(); at += OBSERVE_MILLIS) {
+      for (long at = 0; at < endMillis(); at += OBSERVATION_INTERVAL_MILLIS) {
         timetable.add(at, "observe", observer::observe);
       }
       timetable.sort();
-      timetable.play(beganNanos);
+      timetable.play(startedNanos);
       long settledAfterMillis = awaitSettled(observer);
-      double served = testbed.servedShare(beganNanos, System.nanoTime());
+      double served = testbed.servedShare(startedNanos, System.nanoTime());
       String incompleteViews = settledAfterMillis < 0 ? observer.describeIncompleteViews() : "";
       Map<String, Long> outcomes = reportService(testbed, served, result);
       result
           .figure("settled_after_ms", settledAfterMillis)
           .bar(
-              "every view is those that run within 10 s of the last fault"
+              "every view contains all gateways within 10 s of the last fault"
                   + (incompleteViews.isEmpty() ? "" : ": " + incompleteViews),
               settledAfterMillis >= 0);
       reportFleet(testbed, observer, result);
       result
           .bar("no GET lost", outcomes.get("lost") == 0)
-          .bar("one answer each", outcomes.get("twice") == 0)
+          .bar("no request answered twice", outcomes.get("twice") == 0)
           .bar(
-              "not void: four fifths judged",
+              "at least four fifths of the answers judged",
               testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
-          .bar("no failure in the logs", testbed.severeLines() == 0);
+          .bar("no SEVERE line in the logs", testbed.severeLines() == 0);
       return served;
     }
   }
 
   private double runWithoutFleet() throws Exception {
-    try (ProcessTestbed testbed = open("without-", 0)) {
+    try (ProcessTestbed testbed = openTestbed("without-", 0)) {
       MembershipObserver observer = new MembershipObserver(testbed, plan.gateways);
       testbed.startAll();
       Thread.sleep(WARM_UP_MILLIS);
-      long beganNanos = System.nanoTime();
+      long startedNanos = System.nanoTime();
       Timetable timetable = timetable(testbed, observer);
       timetable.sort();
-      timetable.play(beganNanos);
+      timetable.play(startedNanos);
       Thread.sleep(MAX_SETTLE_MILLIS);
-      double served = testbed.servedShare(beganNanos, System.nanoTime());
+      double served = testbed.servedShare(startedNanos, System.nanoTime());
       out.println(
-          "without [fleet]: " + testbed.settle() + ", wrong: " + testbed.auditor().violations());
+          "without [fleet]: "
+              + testbed.settle()
+              + ", violations: "
+              + testbed.auditor().violations());
       return served;
     }
   }
@@ -180,22 +189,28 @@
         .figure("most_parts", rounded(observer.maxShareSum()))
         .figure("looks", observer.observations())
         .figure("wrong", testbed.auditor().violations())
-        .bar("no rule broken, nobody there called lost", testbed.auditor().violations().isEmpty())
         .bar(
-            "under the ceiling in every second",
+            "no rule violated, no running gateway reported as lost",
+            testbed.auditor().violations().isEmpty())
+        .bar(
+            "at most 120 datagrams and 48 KiB sent by a gateway in any second",
             links.maxDatagramsPerSecond() <= MAX_DATAGRAMS_PER_SECOND
                 && links.maxBytesPerSecond() <= MAX_BYTES_PER_SECOND)
-        .bar("parts sum to one at most", observer.maxShareSum() <= 1 + ROUNDING);
+        .bar("shares sum to at most one", observer.maxShareSum() <= 1 + ROUNDING);
   }
 
-  /** How long it takes until all know all; less than 0 where that takes too long. */
+  /**
+   * Waits until every gateway knows all others.
+   *
+   * @return the time that it took in milliseconds, or -1 if it took more than 10 seconds
+   */
   private long awaitSettled(MembershipObserver observer) throws InterruptedException {
-    long calmNanos = System.nanoTime();
-    while (System.nanoTime() < calmNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI) {
-      Thread.sleep(OBSERVE_MILLIS);
+    long faultsEndedNanos = System.nanoTime();
+    while (System.nanoTime() < faultsEndedNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI) {
+      Thread.sleep(OBSERVATION_INTERVAL_MILLIS);
       observer.observe();
       if (observer.allViewsComplete()) {
-        return (System.nanoTime() - calmNanos) / NANOS_PER_MILLI;
+        return (System.nanoTime() - faultsEndedNanos) / NANOS_PER_MILLI;
       }
     }
     return -1;
@@ -214,16 +229,16 @@
           fault.atMillis(),
           fault.durationMillis(),
           fault.kind().name(),
-          () -> begin(fault, testbed, observer),
-          () -> end(fault, testbed, observer));
+          () -> beginFault(fault, testbed, observer),
+          () -> endFault(fault, testbed, observer));
     }
-    for (long at = 0; at < endMillis(); at += DISCOVERY_CHANGE_MILLIS) {
+    for (long at = 0; at < endMillis(); at += DISCOVERY_CHANGE_INTERVAL_MILLIS) {
       timetable.add(at, "change discovery", testbed::changeDiscovery);
     }
     return timetable;
   }
 
-  private void begin(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
+  private void beginFault(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
       throws Exception {
     observer.faultBegan(fault.durationMillis());
     switch (fault.kind()) {
@@ -239,7 +254,7 @@
     }
   }
 
-  private static void end(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
+  private static void endFault(Fault fault, ProcessTestbed testbed, MembershipObserver observer)
       throws Exception {
     switch (fault.kind()) {
       case KILL -> {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
@@ -7,11 +7,11 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * What goes wrong in a run of the membership model: crashes, starts with no memory, leaves, pauses,
- * partitions, lossy links, replayed datagrams, links cut one way.
+ * Fault injector of the membership model: crashes, restarts without state, leaves, pauses,
+ * partitions, lossy links, replayed datagrams, and links cut in one direction.
  */
 final class MembershipFaults {
-  private static final int KINDS = 10;
+  private static final int FAULT_KINDS = 10;
   private static final int SEED_MEMBERS = 3;
   private static final long MAX_INTERVAL_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PAUSE_NANOS = 12 * Simulation.NANOS_PER_SECOND;
@@ -30,18 +30,18 @@
     random = simulation.random();
   }
 
-  /** Injects one fault, and schedules the next. */
+  /** Injects one random fault and schedules the next one, until the fault period ends. */
   void inject() {
-    if (model.isCalm()) {
+    if (model.haveFaultsEnded()) {
       return;
     }
     model.figures().faultInjected();
-    model.noteStarts();
+    model.recordGrowth();
     List<SimulatedMember> members = model.members();
     SimulatedMember member = members.get(random.nextInt(members.size()));
-    switch (random.nextInt(KINDS)) {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0, 1 -> {
-        if (mayEnd(member)) {
+        if (mayStop(member)) {
           simulation.trace(member.name() + " is killed");
           member.crash();
         }
@@ -53,7 +53,7 @@
         }
       }
       case 4 -> {
-        if (mayEnd(member)) {
+        if (mayStop(member)) {
           simulation.trace(member.name() + " leaves");
           member.leave();
         }
@@ -67,18 +67,22 @@
     simulation.scheduleNextFault(MAX_INTERVAL_NANOS, this::inject);
   }
 
-  private boolean mayEnd(SimulatedMember member) {
+  private boolean mayStop(SimulatedMember member) {
     return member.isRunning() && model.runningNames().size() > 1;
   }
 
   /**
-   * Beyond the expected size a process that remembers nothing must find those before it as one
-   * fleet.
+   * Returns whether a member may start. In a run with more members than expected, a process without
+   * state must find the running members settled as one fleet: the first start of an additional
+   * member waits until all running members have settled, and once one has started only first starts
+   * are allowed.
    */
   private boolean mayStart(SimulatedMember member) {
-    boolean joinsLate = model.isBeyondExpected(member) && member.generation() == 0;
+    boolean firstStartBeyondExpected = model.isBeyondExpected(member) && member.generation() == 0;
     return !member.isRunning()
-        && (!model.grows() || (!model.hasGrown() && !joinsLate) || (joinsLate && allSettled()));
+        && (!model.mayExceedExpectedSize()
+            || (!model.hasGrown() && !firstStartBeyondExpected)
+            || (firstStartBeyondExpected && allSettled()));
   }
 
   private boolean allSettled() {
@@ -89,8 +93,10 @@
   }
 
   /**
-   * Beyond the expected size shares are promised to those alone that were admitted before; and a
-   * member that is cut off can't refute false updates.
+   * Returns whether the fleet may be partitioned. Once it exceeds the expected size, the bound on
+   * the sum of shares covers only members that were admitted before, so every running member must
+   * have a share. With a faulty member there are no partitions, because a member that is cut off
+   * can't refute false updates.
    */
   private boolean mayPartition() {
     return !model.hasFaultyMember()
@@ -104,7 +110,7 @@
         Math.min(
             simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS),
             simulation.faultsUntilNanos()));
-    simulation.trace(member.name() + " stands still");
+    simulation.trace(member.name() + " is paused");
   }
 
   private void partitionIfAllowed() {
@@ -115,21 +121,24 @@
     for (int index = 0; index < side.length; index++) {
       side[index] = random.nextBoolean();
     }
-    simulation.trace("a partition");
+    simulation.trace("partition");
     links.partitionFor(random.nextLong(MAX_PARTITION_NANOS), side);
   }
 
   private void cutOneWay(SimulatedMember from) {
     int to = random.nextInt(model.members().size());
-    simulation.trace("from " + from.name() + " to g" + to + " nothing comes through");
+    simulation.trace("link from " + from.name() + " to g" + to + " is cut");
     links.cutFor(random.nextLong(MAX_CUT_NANOS), from.index(), to);
   }
 
-  /** Ends all faults. Where all seed members are down nobody could be found: the first starts. */
-  void end() {
+  /**
+   * Ends all faults. If all seed members are down, starts the first one, because a starting member
+   * could not find any other.
+   */
+  void endFaults() {
     model.faultsEnded();
     model.network().restore();
-    simulation.trace("calm");
+    simulation.trace("faults ended");
     if (model.members().stream().limit(SEED_MEMBERS).noneMatch(SimulatedMember::isRunning)) {
       model.members().get(0).restartUnpaused();
     }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -13,21 +13,21 @@
 import org.amberpath.membership.SwimTimings;
 
 /**
- * One run of a fleet's members on a virtual clock, with the faults of {@link MembershipFaults}; in
- * one run of six one member says of others that they are gone. After each step the shares of all
- * that run sum to one at most; once it has been calm for a while, each member knows those that run
- * and nobody else.
+ * Simulates the members of a fleet on a virtual clock, with the faults of {@link MembershipFaults};
+ * in one run of six a faulty member reports others as lost or left. Invariants: after each step the
+ * shares of all running members sum to at most one; at the end of the fault-free period each
+ * member's view consists of exactly the running members.
  */
 final class MembershipModel {
   private static final long WARM_UP_NANOS = 15 * Simulation.NANOS_PER_SECOND;
   private static final long FAULT_PERIOD_NANOS = 40 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = 30 * Simulation.NANOS_PER_SECOND;
-  private static final long HEALED_AFTER_NANOS = 15 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS = 30 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_CONVERGENCE_NANOS = 15 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_START_NANOS = 2 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_MEMBERS = 3;
   private static final int MAX_MEMBERS = 30;
-  private static final int GROWS_ONE_IN = 3;
-  private static final int FAULTY_ONE_IN = 6;
+  private static final int GROWTH_ONE_IN = 3;
+  private static final int FAULTY_MEMBER_ONE_IN = 6;
   private static final double ROUNDING = 1e-9;
 
   private final Simulation simulation;
@@ -36,32 +36,38 @@
   private final MembershipFaults faults;
   private final SwimTimings timings;
 
-  /** How many members the operators expect where more come; else the number of all. */
-  private final int firstMembers;
+  /**
+   * The number of members that start first: the expected fleet size in runs in which more join;
+   * otherwise the number of all members.
+   */
+  private final int initialMemberCount;
 
-  /** The one that sends false updates; null in most runs. */
+  /** The member that sends false updates; null in runs without one. */
   private final SimulatedMember faultyMember;
 
   private final MembershipFigures figures = new MembershipFigures();
   private boolean hasGrown;
-  private long calmSinceNanos;
+  private long faultsEndedNanos;
 
   MembershipModel(long seed, Consumer<String> trace) {
     simulation =
         new Simulation(seed, WARM_UP_NANOS + FAULT_PERIOD_NANOS, TimeUnit.MILLISECONDS, trace);
     SplittableRandom random = simulation.random();
     int count = MIN_MEMBERS + random.nextInt(MAX_MEMBERS - MIN_MEMBERS + 1);
-    // In one run of three more come than expected, once those before them have settled.
-    boolean moreThanExpected = random.nextInt(GROWS_ONE_IN) == 0;
-    firstMembers = moreThanExpected ? Math.max(2, count - 1 - random.nextInt(count / 2)) : count;
-    timings = SwimTimings.defaults(moreThanExpected ? firstMembers : count + random.nextInt(3));
+    // In one run of three more members join than expected, after the first ones have settled.
+    boolean moreThanExpected = random.nextInt(GROWTH_ONE_IN) == 0;
+    initialMemberCount =
+        moreThanExpected ? Math.max(2, count - 1 - random.nextInt(count / 2)) : count;
+    timings =
+        SwimTimings.defaults(moreThanExpected ? initialMemberCount : count + random.nextInt(3));
     LinkMatrix links = new LinkMatrix(simulation, count);
     network = new DatagramNetwork(simulation, links, members);
     faults = new MembershipFaults(this, links);
     for (int index = 0; index < count; index++) {
       members.add(new SimulatedMember(this, index));
     }
-    faultyMember = random.nextInt(FAULTY_ONE_IN) == 0 ? members.get(random.nextInt(count)) : null;
+    faultyMember =
+        random.nextInt(FAULTY_MEMBER_ONE_IN) == 0 ? members.get(random.nextInt(count)) : null;
   }
 
   Simulation simulation() {
@@ -84,50 +90,56 @@
     return members;
   }
 
-  /** By its name or its address, each of which ends in its index. */
+  /** Returns the member with a name or an address: both are one letter followed by its index. */
   SimulatedMember member(String nameOrAddress) {
     return members.get(Integer.parseInt(nameOrAddress.substring(1)));
   }
 
-  /** Whether this member sends false updates now. */
+  /** Returns whether a member sends false updates now. */
   boolean sendsFalseUpdates(SimulatedMember member) {
-    return member == faultyMember && !isCalm();
+    return member == faultyMember && !haveFaultsEnded();
   }
 
   boolean hasFaultyMember() {
     return faultyMember != null;
   }
 
-  /** Whether more members come in this run than are expected. */
-  boolean grows() {
-    return firstMembers < members.size();
+  /** Returns whether more members join in this run than expected. */
+  boolean mayExceedExpectedSize() {
+    return initialMemberCount < members.size();
   }
 
   boolean isBeyondExpected(SimulatedMember member) {
-    return member.index() >= firstMembers;
+    return member.index() >= initialMemberCount;
   }
 
-  /** Whether one beyond the expected has started, as of the last fault. */
+  /**
+   * Returns whether a member beyond the expected size had started when the last fault was injected.
+   */
   boolean hasGrown() {
     return hasGrown;
   }
 
-  /** Looks whether one beyond the expected has started. */
-  void noteStarts() {
-    hasGrown |= members.stream().skip(firstMembers).anyMatch(member -> member.generation() > 0);
+  /** Records whether a member beyond the expected size has started. */
+  void recordGrowth() {
+    hasGrown |=
+        members.stream().skip(initialMemberCount).anyMatch(member -> member.generation() > 0);
   }
 
   void faultsEnded() {
-    calmSinceNanos = simulation.nowNanos();
+    faultsEndedNanos = simulation.nowNanos();
   }
 
-  boolean isCalm() {
-    return calmSinceNanos > 0;
+  boolean haveFaultsEnded() {
+    return faultsEndedNanos > 0;
   }
 
-  /** Whether it has been calm for so long that all must know all. */
-  boolean isHealed() {
-    return isCalm() && simulation.nowNanos() - calmSinceNanos > HEALED_AFTER_NANOS;
+  /**
+   * Returns whether the faults ended more than 15 seconds ago, so that all members must know each
+   * other.
+   */
+  boolean isConvergenceDue() {
+    return haveFaultsEnded() && simulation.nowNanos() - faultsEndedNanos > MAX_CONVERGENCE_NANOS;
   }
 
   List<String> runningNames() {
@@ -138,15 +150,15 @@
         .toList();
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     SplittableRandom random = simulation.random();
-    for (SimulatedMember member : members.subList(0, firstMembers)) {
+    for (SimulatedMember member : members.subList(0, initialMemberCount)) {
       simulation.after(random.nextLong(MAX_START_NANOS), member::restart);
     }
     simulation.after(WARM_UP_NANOS, faults::inject);
-    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::end);
-    long steps = simulation.run(CALM_PERIOD_NANOS, this::checkShares);
+    simulation.scheduler().schedule(simulation.faultsUntilNanos(), faults::endFaults);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, this::checkShares);
     members.stream().filter(SimulatedMember::isRunning).forEach(this::checkEnd);
     return figures.report(steps);
   }
@@ -156,19 +168,27 @@
     List<String> running = runningNames();
     if (!protocol.presentNames().equals(running)) {
       throw new InvariantViolation(
-          "calm, and " + member.name() + " holds " + protocol.presentNames() + " of " + running);
+          "faults ended, but the view of "
+              + member.name()
+              + " is "
+              + protocol.presentNames()
+              + ", running are "
+              + running);
     }
     if (protocol.phase() != SwimProtocol.Phase.SETTLED
         && running.size() * 2 > members.size()
         && protocol.countedMembers() < 2 * running.size()) {
-      throw new InvariantViolation("calm, and " + member.name() + " is " + protocol.phase());
+      throw new InvariantViolation(
+          "faults ended, but " + member.name() + " is in phase " + protocol.phase());
     }
   }
 
   /**
-   * One beyond the expected that has reached nobody serves as before: what is promised ends there.
+   * Returns whether the share of a member counts towards the sum. Once the fleet exceeds the
+   * expected size, a member that has reached no other one keeps serving with its initial share; the
+   * bound on the sum does not cover it.
    */
-  private boolean isCounted(SimulatedMember member) {
+  private boolean countsTowardsShareSum(SimulatedMember member) {
     return member.isRunning()
         && !(hasGrown && member.protocol().phase() == SwimProtocol.Phase.ALONE);
   }
@@ -176,11 +196,11 @@
   private void checkShares() {
     double shareSum = 0;
     for (SimulatedMember member : members) {
-      shareSum += isCounted(member) ? member.protocol().quotaShare() : 0;
+      shareSum += countsTowardsShareSum(member) ? member.protocol().quotaShare() : 0;
     }
     if (shareSum > 1 + ROUNDING) {
       throw new InvariantViolation(
-          "shares sum to "
+          "shares sum to more than 1, namely "
               + shareSum
               + ": "
               + members.stream()
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -10,21 +10,24 @@
 import org.amberpath.lab.testbed.ProcessTestbed;
 
 /**
- * Looks at the views of all gateways of an experiment: the sum of their shares, how soon a crash is
- * known, and whether one that runs is called lost.
+ * Observes the membership views of all gateways of an experiment: the sum of their shares, how soon
+ * a crash is detected by all, and whether a running gateway is reported as lost.
  */
 final class MembershipObserver {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long FAULT_FREE_NANOS = 15_000 * NANOS_PER_MILLI;
-  private static final long MAX_HEARD_MILLIS = 60_000;
+  private static final long MIN_FAULT_FREE_NANOS = 15_000 * NANOS_PER_MILLI;
+  private static final long MAX_DETECTION_MILLIS = 60_000;
   private static final String LOST = "lost";
   private static final String LEFT = "left";
 
   private final ProcessTestbed testbed;
   private final int gateways;
-  private final Histogram crashHeardMillis = new Histogram(MAX_HEARD_MILLIS, 3);
+  private final Histogram crashDetectionMillis = new Histogram(MAX_DETECTION_MILLIS, 3);
 
-  /** Of each gateway, when it was killed; 0 once all know it, or it has started again. */
+  /**
+   * When each gateway was killed; 0 once all running gateways have detected it or the gateway has
+   * restarted.
+   */
   private final long[] killedAtNanos;
 
   private long lastFaultNanos;
@@ -45,7 +48,7 @@
     killedAtNanos[gateway] = 0;
   }
 
-  /** A fault has begun, that lasts so long. */
+  /** Records that a fault of the given duration has begun. */
   void faultBegan(long durationMillis) {
     lastFaultNanos = Math.max(lastFaultNanos, System.nanoTime() + durationMillis * NANOS_PER_MILLI);
   }
@@ -54,7 +57,7 @@
     return maxShareSum;
   }
 
-  /** Looks at all views once. */
+  /** Reads the views of all running gateways once. */
   void observe() {
     double shareSum = 0;
     long nowNanos = System.nanoTime();
@@ -68,9 +71,9 @@
     }
     maxShareSum = Math.max(maxShareSum, shareSum);
     for (int gateway = 0; gateway < gateways; gateway++) {
-      if (killedAtNanos[gateway] != 0 && allKnowGone(gateway)) {
-        long heardMillis = (nowNanos - killedAtNanos[gateway]) / NANOS_PER_MILLI;
-        crashHeardMillis.recordValue(Math.min(MAX_HEARD_MILLIS, heardMillis));
+      if (killedAtNanos[gateway] != 0 && allReportLostOrLeft(gateway)) {
+        long detectionMillis = (nowNanos - killedAtNanos[gateway]) / NANOS_PER_MILLI;
+        crashDetectionMillis.recordValue(Math.min(MAX_DETECTION_MILLIS, detectionMillis));
         killedAtNanos[gateway] = 0;
       }
     }
@@ -90,16 +93,17 @@
             lost ->
                 testbed
                     .auditor()
-                    .violation(slot.name() + " calls " + lost.name() + " lost, which runs"));
+                    .violation(
+                        slot.name() + " reports " + lost.name() + " as lost, which is running"));
   }
 
   private boolean isFaultFree(GatewaySlot slot, long nowNanos) {
     return slot.isRunning()
-        && nowNanos - slot.runningSinceNanos() > FAULT_FREE_NANOS
-        && nowNanos - lastFaultNanos > FAULT_FREE_NANOS;
+        && nowNanos - slot.runningSinceNanos() > MIN_FAULT_FREE_NANOS
+        && nowNanos - lastFaultNanos > MIN_FAULT_FREE_NANOS;
   }
 
-  private boolean allKnowGone(int gateway) {
+  private boolean allReportLostOrLeft(int gateway) {
     String name = "g" + gateway;
     return testbed.slots().stream()
         .filter(slot -> slot.view() != null && slot.isRunning())
@@ -109,7 +113,7 @@
         .allMatch(status -> status.equals(LOST) || status.equals(LEFT));
   }
 
-  /** Whether every gateway runs, has settled, and knows all. */
+  /** Returns whether every gateway is running, has settled, and has all gateways in its view. */
   boolean allViewsComplete() {
     return testbed.slots().stream().allMatch(this::isViewComplete);
   }
@@ -134,7 +138,7 @@
     return names;
   }
 
-  /** The views that are not complete. */
+  /** Describes the views that are not complete. */
   String describeIncompleteViews() {
     return testbed.slots().stream()
         .filter(slot -> !isViewComplete(slot))
@@ -147,12 +151,12 @@
     return view == null ? "no view" : view.getString("phase") + " " + presentNames(view);
   }
 
-  /** Adds how soon crashes were known. */
+  /** Adds the times until crashes were detected by all running gateways. */
   void reportCrashes(ExperimentReport result) {
     result
-        .figure("heard_of_a_kill_p50_ms", crashHeardMillis.getValueAtPercentile(50))
-        .figure("heard_of_a_kill_max_ms", crashHeardMillis.getMaxValue())
-        .figure("kills_heard_of", crashHeardMillis.getTotalCount());
+        .figure("heard_of_a_kill_p50_ms", crashDetectionMillis.getValueAtPercentile(50))
+        .figure("heard_of_a_kill_max_ms", crashDetectionMillis.getMaxValue())
+        .figure("kills_heard_of", crashDetectionMillis.getTotalCount());
   }
 
   long observations() {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -8,15 +8,15 @@
 import org.amberpath.lab.simulation.Simulation;
 
 /**
- * What membership costs and how soon it knows, by the fleet's size, on the virtual clock: a start
- * of all, a minute of five datagrams lost in a hundred, a crash, a join, a partition's healing.
- * Beside it, heartbeats to all.
+ * Measures the cost and the detection times of membership by fleet size, on a virtual clock: a
+ * start of all members, a minute with 5 % datagram loss, a crash, a join, and the healing of a
+ * partition. Prints the calculated cost of all-to-all heartbeats for comparison.
  */
 public final class MembershipSizeExperiment {
   private static final long SECOND = Simulation.NANOS_PER_SECOND;
-  private static final long MAX_KNOWN_NANOS = 300 * SECOND;
+  private static final long MAX_DETECTION_NANOS = 300 * SECOND;
   private static final long MAX_HEALED_NANOS = 600 * SECOND;
-  private static final long CALM_NANOS = 20 * SECOND;
+  private static final long STABLE_NANOS = 20 * SECOND;
   private static final long AFTER_LOSS_NANOS = 5 * SECOND;
   private static final long PARTITION_NANOS = 20 * SECOND;
   private static final int LOSSY_SECONDS = 60;
@@ -24,7 +24,7 @@
   private static final double LOSS_RATE = 0.05;
   private static final double MILLIS_PER_SECOND = 1e3;
 
-  /** A datagram that says no more than who sends it: a header and a MAC. */
+  /** Size of a datagram that only identifies its sender: a header and a MAC. */
   private static final int HEARTBEAT_BYTES = 130;
 
   private static final int MAX_LOSSY_DATAGRAMS = 60;
@@ -39,7 +39,7 @@
   private Histogram untilHealed;
   private double datagramsPerSecond;
   private double cpuMicrosPerSecond;
-  private long maxWhileLossy;
+  private long maxDatagramsWhileLossy;
 
   private MembershipSizeExperiment(long seed, int size, long probeIntervalMillis) {
     fleet = new SizedFleet(seed, size, probeIntervalMillis * Simulation.NANOS_PER_MILLI);
@@ -47,20 +47,25 @@
     this.probeIntervalMillis = probeIntervalMillis;
   }
 
-  /** Runs each size with each probe interval (ms), and prints a row for each. */
+  /**
+   * Measures each fleet size with each probe interval, and prints a row for each combination.
+   *
+   * @param probeIntervalsMillis the probe intervals in milliseconds
+   */
   public static ExperimentReport run(
-      long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
+      long seed, List<Integer> sizes, List<Integer> probeIntervalsMillis, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
     out.println(
-        "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 %"
-            + " loss");
+        "figures per gateway; suspicions and losses: false reports about running members, at 5 %"
+            + " loss of datagrams");
     out.println(
         "size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  crash"
-            + " p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram"
+            + " p50, p99, max   join p99  healed p99   CPU us/s per gateway, codec us per datagram"
             + " sent, read");
     for (int size : sizes) {
-      for (long period : periods) {
-        MembershipSizeExperiment row = new MembershipSizeExperiment(seed, size, period);
+      for (long probeIntervalMillis : probeIntervalsMillis) {
+        MembershipSizeExperiment row =
+            new MembershipSizeExperiment(seed, size, probeIntervalMillis);
         row.measure();
         row.print(out);
         row.report(result);
@@ -68,8 +73,8 @@
       double heartbeatsPerSecond = 2.0 * (size - 1);
       out.printf(
           Locale.ROOT,
-          "%4d  heartbeats to all, one each 0.5 s, lost after 5 missed: %.0f datagrams/s, "
-              + "%.0f bytes/s a gateway; crash heard of after 2.5 to 3 s by each%n",
+          "%4d  all-to-all heartbeats, one per 0.5 s, lost after 5 missed: %.0f datagrams/s, "
+              + "%.0f bytes/s per gateway; crash detected by each after 2.5 to 3 s%n",
           size,
           heartbeatsPerSecond,
           heartbeatsPerSecond * HEARTBEAT_BYTES);
@@ -79,15 +84,15 @@
 
   private void measure() {
     fleet.startAll();
-    untilAllKnown = fleet.runUntilPresent(size, MAX_KNOWN_NANOS);
-    fleet.runFor(CALM_NANOS);
+    untilAllKnown = fleet.runUntilPresent(size, MAX_DETECTION_NANOS);
+    fleet.runFor(STABLE_NANOS);
     measureLossyMinute();
     fleet.runFor(AFTER_LOSS_NANOS);
     SizedFleetMember last = fleet.members().get(size - 1);
     last.crash();
-    untilCrashKnown = fleet.runUntilPresent(size - 1, MAX_KNOWN_NANOS);
+    untilCrashKnown = fleet.runUntilPresent(size - 1, MAX_DETECTION_NANOS);
     last.restart();
-    untilJoinKnown = fleet.runUntilPresent(size, MAX_KNOWN_NANOS);
+    untilJoinKnown = fleet.runUntilPresent(size, MAX_DETECTION_NANOS);
     fleet.partitionFor(PARTITION_NANOS);
     untilHealed = fleet.runUntilPresent(size, MAX_HEALED_NANOS);
   }
@@ -95,13 +100,13 @@
   private void measureLossyMinute() {
     long datagramsBefore = fleet.datagramCount();
     long protocolNanosBefore = fleet.protocolNanos();
-    fleet.forgetMaxDatagrams();
+    fleet.resetMaxDatagrams();
     fleet.setLossRate(LOSS_RATE);
-    fleet.countFalseAlarms();
+    fleet.startCountingFalseAlarms();
     fleet.runFor(LOSSY_SECONDS * SECOND);
     fleet.stopCountingFalseAlarms();
     fleet.setLossRate(0);
-    maxWhileLossy = fleet.maxDatagramsPerSecond();
+    maxDatagramsWhileLossy = fleet.maxDatagramsPerSecond();
     datagramsPerSecond = (fleet.datagramCount() - datagramsBefore) / (double) LOSSY_SECONDS / size;
     cpuMicrosPerSecond = (fleet.protocolNanos() - protocolNanosBefore) / 1e3 / LOSSY_SECONDS / size;
   }
@@ -115,7 +120,7 @@
         untilAllKnown.getMaxValue() / MILLIS_PER_SECOND,
         datagramsPerSecond,
         datagramsPerSecond * fleet.bytesPerDatagram(),
-        maxWhileLossy,
+        maxDatagramsWhileLossy,
         fleet.maxDatagramsPerSecond(),
         fleet.falseSuspicions() * MINUTES_PER_HOUR / size,
         fleet.falseLosses() * MINUTES_PER_HOUR / size);
@@ -144,11 +149,13 @@
         .figure(prefix + "_healed_p99_ms", untilHealed.getValueAtPercentile(99))
         .figure(prefix + "_false_losses_an_hour", fleet.falseLosses() * MINUTES_PER_HOUR / size)
         .bar(
-            prefix + ": all know all in the end",
+            prefix + ": every view is complete at the end",
             untilHealed.getMaxValue() < MAX_HEALED_NANOS / Simulation.NANOS_PER_MILLI)
         .bar(
-            prefix + ": under 60 datagrams in any second of the lossy minute",
-            maxWhileLossy <= MAX_LOSSY_DATAGRAMS)
-        .bar(prefix + ": under 120 in any second", fleet.maxDatagramsPerSecond() <= MAX_DATAGRAMS);
+            prefix + ": at most 60 datagrams in any second of the lossy minute",
+            maxDatagramsWhileLossy <= MAX_LOSSY_DATAGRAMS)
+        .bar(
+            prefix + ": at most 120 datagrams in any second",
+            fleet.maxDatagramsPerSecond() <= MAX_DATAGRAMS);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -14,10 +14,11 @@
 import org.amberpath.planning.QuotaTimings;
 
 /**
- * One run of the pure halves of planners and forwarders on a virtual clock: messages lost, late and
- * doubled, planners killed, paused and stopped, forwarders restarted, clocks that differ and drift.
- * After each step the sum of what all forwarders may use stays within the bound, and one planner at
- * most may grant.
+ * Simulates the I/O-free parts of planners and forwarders on a virtual clock. Messages are lost,
+ * delayed and duplicated, planners are killed, paused and stopped, forwarders are restarted and
+ * paused, and clocks differ and drift. Invariants, checked after each step: the sum of the amounts
+ * that all forwarders may use stays within the bound of each resource, and at most one planner may
+ * grant.
  */
 final class PlannersModel {
   static final QuotaTimings TIMINGS =
@@ -26,7 +27,7 @@
   static final long LEASE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
 
   private static final long FAULT_PERIOD_NANOS = 60 * Simulation.NANOS_PER_SECOND;
-  private static final long CALM_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
+  private static final long FAULT_FREE_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_MESSAGE_DELAY_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_FAULT_INTERVAL_NANOS = 4 * Simulation.NANOS_PER_SECOND;
   private static final long MAX_PLANNER_PAUSE_NANOS = 8 * Simulation.NANOS_PER_SECOND;
@@ -35,7 +36,7 @@
   private static final long MAX_DOWN_NANOS = 5 * Simulation.NANOS_PER_SECOND;
   private static final int MIN_PLANNERS = 2;
   private static final int MIN_FORWARDERS = 4;
-  private static final int MORE_FORWARDERS = 8;
+  private static final int FORWARDER_COUNT_CHOICES = 8;
   private static final int FAULT_KINDS = 6;
   private static final double ROUNDING = 1e-6;
 
@@ -59,7 +60,7 @@
             planners,
             SimulatedPlanner::keyObserved);
     int plannerCount = MIN_PLANNERS + simulation.random().nextInt(2);
-    int forwarderCount = MIN_FORWARDERS + simulation.random().nextInt(MORE_FORWARDERS);
+    int forwarderCount = MIN_FORWARDERS + simulation.random().nextInt(FORWARDER_COUNT_CHOICES);
     for (int index = 0; index < plannerCount; index++) {
       planners.add(new SimulatedPlanner(this, index));
     }
@@ -88,7 +89,10 @@
     return forwarders.size();
   }
 
-  /** Of each resource, what all forwarders together may use; not to be changed. */
+  /**
+   * Returns the bound of each resource: the amount that all forwarders together may use. Callers
+   * must not modify the array.
+   */
   double[] bounds() {
     return bounds;
   }
@@ -97,20 +101,20 @@
     return figures;
   }
 
-  /** Runs it, and gives its figures. */
+  /** Runs the model and returns its figures. */
   Map<String, Long> run() {
     planners.forEach(SimulatedPlanner::restart);
     forwarders.forEach(SimulatedForwarder::restart);
     simulation.after(simulation.random().nextLong(Simulation.NANOS_PER_SECOND), this::injectFault);
-    long steps = simulation.run(CALM_PERIOD_NANOS, this::checkInvariants);
+    long steps = simulation.run(FAULT_FREE_PERIOD_NANOS, this::checkInvariants);
     long granted = forwarders.stream().filter(SimulatedForwarder::isGranted).count();
     if (granted < forwarders.size()) {
       throw new InvariantViolation(
-          "calm, and only "
+          "faults ended, but only "
               + granted
               + " of "
               + forwarders.size()
-              + " are granted: "
+              + " forwarders hold a grant; planners: "
               + planners.stream().map(planner -> planner.leadership().state()).toList());
     }
     return figures.report(steps);
@@ -124,11 +128,17 @@
       }
       if (sum > bounds[resource] + ROUNDING) {
         throw new InvariantViolation(
-            "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
+            "resource "
+                + resource
+                + ": "
+                + sum
+                + " of "
+                + bounds[resource]
+                + " may be used, over the bound");
       }
     }
     if (planners.stream().filter(SimulatedPlanner::mayGrant).count() > 1) {
-      throw new InvariantViolation("two planners may grant");
+      throw new InvariantViolation("more than one planner may grant");
     }
   }
 
@@ -148,7 +158,7 @@
       case 1, 2 -> pause(planner);
       case 3 -> {
         if (planner.isRunning() && !planner.isPaused()) {
-          simulation.trace("planner " + planner.index() + " is told to stop");
+          simulation.trace("planner " + planner.index() + " resigns and is restarted later");
           planner.leadership().resign(planner.localNanos());
           restartLater(planner, planner::restart);
         }
@@ -169,7 +179,7 @@
     simulation.trace(
         "planner "
             + planner.index()
-            + " stands still until "
+            + " is paused until "
             + (planner.pausedUntilNanos() - Simulation.EPOCH_NANOS) / 1000);
   }
 
