--- a/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
@@ -47,7 +47,7 @@
               purge.object() != 0
                   ? String.format("%016x", purge.object())
                   : "group " + purge.group())
-          .put("at_ms", purge.atMs());
+          .put("at_ms", purge.issuedAtMs());
     } else if (entry.value() instanceof RegistryRecord.Unreadable unreadable) {
       line.put("unreadable", unreadable.reason());
     } else {
--- a/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
+++ b/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
@@ -66,6 +66,6 @@
     List<String> flags =
         Stream.of(runLine.replaceFirst(".*exec java ", "").replaceFirst(" -jar .*", "").split(" "))
             .toList();
-    assertEquals(flags, GatewayProcess.DEPLOYED_FLAGS);
+    assertEquals(flags, GatewayProcess.DEPLOYED_JVM_FLAGS);
   }
 }
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -119,7 +119,7 @@
     await("the leave is received", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
     testbed.awaitExit(3);
 
-    Map<String, Long> outcomes = testbed.settle();
+    Map<String, Long> outcomes = testbed.stopClientsAndCountOutcomes();
     assertEquals(List.of(), testbed.auditor().violations());
     assertEquals(0, outcomes.get("lost"), outcomes.toString());
     assertEquals(0, outcomes.get("twice"), outcomes.toString());
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -122,7 +122,7 @@
   }
 
   private void assertRulesKept() throws Exception {
-    Map<String, Long> outcomes = testbed.settle();
+    Map<String, Long> outcomes = testbed.stopClientsAndCountOutcomes();
     assertEquals(List.of(), testbed.auditor().violations());
     assertEquals(0, outcomes.get("lost"), outcomes.toString());
     assertEquals(0, outcomes.get("twice"), outcomes.toString());
--- a/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
@@ -55,7 +55,7 @@
    */
   Future<Void> listen() {
     PipelineContext context = pipeline.context();
-    SingleEventLoopTransport.limitNext(
+    SingleEventLoopTransport.limitNextServer(
         context.vertx(),
         new AcceptLimit(
             options.maxClientConnections() + EXTRA_ACCEPTED_CONNECTIONS,
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -75,7 +75,7 @@
    */
   void applyKnownEntries(GatewayOptions options) {
     if (journalClient != null) {
-      journalDecoder.playKnown(options.knownEntries(), journalListener);
+      journalDecoder.decodeKnownEntries(options.knownEntries(), journalListener);
     }
   }
 
@@ -106,7 +106,7 @@
       return Optional.empty();
     }
     applyKnownEntries(newOptions);
-    newOptions.journalAddress().ifPresent(journalClient::moveTo);
+    newOptions.journalAddress().ifPresent(journalClient::changeAddress);
     return newOptions.journalAddress();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
@@ -52,14 +52,14 @@
   private void check(long timer) {
     ClientConnections clients = pipeline.clients();
     if (schedule.rejects(nowNanos())) {
-      clients.reject();
+      clients.rejectRequests();
     }
     failUnanswered();
-    if (schedule.exits(nowNanos(), clients.allWritten(), clients.size() == 0)) {
+    if (schedule.exits(nowNanos(), clients.allResponsesWritten(), clients.descriptorCount() == 0)) {
       vertx().cancelTimer(timer);
       halfClose();
       onDrained.accept(schedule);
-    } else if (!clients.isEnded() && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
+    } else if (!clients.isHalfClosed() && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
       // Guards against dropping requests that arrived while the event loop was blocked: the sockets
       // are read once more before the connections are half-closed.
       vertx().setTimer(READ_SOCKETS_MILLIS, read -> halfClose());
@@ -79,8 +79,9 @@
    */
   private void halfClose() {
     failUnanswered(); // The last read of the sockets may have completed another request.
-    if (!pipeline.clients().isEnded() && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
-      pipeline.clients().end();
+    if (!pipeline.clients().isHalfClosed()
+        && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
+      pipeline.clients().halfCloseAll();
       schedule.halfClosed(nowNanos());
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -74,8 +74,8 @@
       for (int request = 0; request < BATCH_SIZE; request++) {
         routeRequest(++requests);
       }
-      RequestWarmUp.play(BATCH_SIZE);
-      ReplyWarmUp.play(BATCH_SIZE);
+      RequestWarmUp.run(BATCH_SIZE);
+      ReplyWarmUp.run(BATCH_SIZE);
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -64,7 +64,7 @@
    * @param note what the cache reported about how it produced its reply
    * @param body the returned body; null if the outcome has none or the client's copy is current
    */
-  protected abstract void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body);
+  protected abstract void onEnded(AttemptOutcome outcome, ResponseDetail note, Buffer body);
 
   /**
    * Returns whether the command must not be sent any more, because its request has been answered or
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -89,7 +89,7 @@
     return channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
   }
 
-  /** Writes a command; its outcome is reported by {@link CacheCommand#ended}. */
+  /** Writes a command; its outcome is reported by {@link CacheCommand#onEnded}. */
   void send(CacheCommand command, long nowNanos) {
     command.connection = this;
     command.writtenAtNanos = nowNanos;
@@ -141,7 +141,7 @@
     }
     inFlight.remove(command.requestId);
     lastUsedNanos = lastReadNanos;
-    command.ended(reply.outcome(), reply.note(), reply.body());
+    command.onEnded(reply.outcome(), reply.note(), reply.body());
   }
 
   @Override
@@ -169,7 +169,7 @@
       List<CacheCommand> lostCommands = new ArrayList<>(inFlight.values());
       inFlight.clear();
       lostCommands.forEach(
-          command -> command.ended(AttemptOutcome.CONNECTION_LOST, ResponseDetail.NONE, null));
+          command -> command.onEnded(AttemptOutcome.CONNECTION_LOST, ResponseDetail.NONE, null));
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import org.amberpath.routing.AttemptOutcome;
-import org.amberpath.routing.ConnectPatience;
+import org.amberpath.routing.ConnectFailureEvidence;
 import org.amberpath.routing.LocalBackoff;
 
 /**
@@ -173,7 +173,7 @@
     boolean cacheAtFault =
         !backoff.isFailing()
             && pendingConnects > 0
-            && ConnectPatience.isEvidence(
+            && ConnectFailureEvidence.isEvidence(
                 clock.getAsLong() - connectsPendingSinceNanos, connectTimeoutNanos);
     return cacheAtFault ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -130,7 +130,7 @@
   }
 
   private static void endUnsent(CacheCommand command, AttemptOutcome outcome) {
-    command.ended(outcome, ResponseDetail.NONE, null);
+    command.onEnded(outcome, ResponseDetail.NONE, null);
   }
 
   private boolean hasCapacity() {
@@ -179,7 +179,7 @@
     @Override
     public void connectFailed(AttemptOutcome outcome) {
       long nowNanos = nowNanos();
-      fail(command -> leastLoaded(command, nowNanos) == null, outcome);
+      failWaiting(command -> leastLoaded(command, nowNanos) == null, outcome);
     }
 
     @Override
@@ -205,7 +205,7 @@
   }
 
   /** Ends the waiting commands that match; no byte of them has been sent. */
-  public void fail(Predicate<CacheCommand> filter, AttemptOutcome outcome) {
+  public void failWaiting(Predicate<CacheCommand> filter, AttemptOutcome outcome) {
     if (waitingCommands.isEmpty()) {
       return;
     }
@@ -293,7 +293,7 @@
   public void close() {
     closed = true;
     connector.close();
-    fail(command -> true, AttemptOutcome.CONNECT_FAILED);
+    failWaiting(command -> true, AttemptOutcome.CONNECT_FAILED);
     List.copyOf(connections).forEach(CacheConnection::close);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
@@ -21,7 +21,7 @@
   private ReplyWarmUp() {}
 
   /** Encodes this number of commands and parses as many replies; returns how many were parsed. */
-  public static int play(int commands) {
+  public static int run(int commands) {
     ReplyWarmUp warmUp = new ReplyWarmUp();
     ReplyReader reader = new ReplyReader(FIELDS.length(), warmUp);
     for (int number = 0; number < commands; number++) {
@@ -44,7 +44,7 @@
     byte[] fields = FIELDS.getBytes(StandardCharsets.ISO_8859_1);
     return new CacheCommand(REQUEST_ID, fields, REQUEST_ID, REQUEST_ID, deadlineNanos, List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
+      protected void onEnded(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
     };
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -98,7 +98,7 @@
   }
 
   private boolean exceedsSpareConnections() {
-    return size() > maxConnections + SPARE_CONNECTIONS;
+    return descriptorCount() > maxConnections + SPARE_CONNECTIONS;
   }
 
   /**
@@ -154,7 +154,7 @@
 
   /**
    * Removes a connection that reads nothing more. It counts as holding a descriptor until {@link
-   * #released} is called.
+   * #descriptorReleased} is called.
    */
   public void remove(ClientConnection connection) {
     evictingConnections.remove(connection);
@@ -164,12 +164,12 @@
   }
 
   /** Records that the descriptor of a removed connection is closed. */
-  public void released(ClientConnection connection) {
+  public void descriptorReleased(ClientConnection connection) {
     closingConnections.remove(connection);
   }
 
   /** Rejects each further request, on new connections too, because the gateway is shutting down. */
-  public void reject() {
+  public void rejectRequests() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
       openConnections.forEach(ClientConnection::rejectNewRequests);
@@ -180,18 +180,18 @@
    * Half-closes all connections, and each new one as soon as it is added. To be called when no
    * request is in flight on any of them.
    */
-  public void end() {
+  public void halfCloseAll() {
     mode = Mode.HALF_CLOSED;
     List.copyOf(openConnections).forEach(ClientConnection::closeAfterFlush);
   }
 
-  /** Returns whether {@link #end} has been called. */
-  public boolean isEnded() {
+  /** Returns whether {@link #halfCloseAll} has been called. */
+  public boolean isHalfClosed() {
     return mode == Mode.HALF_CLOSED;
   }
 
   /** Returns whether all responses to connections that are closing have been written. */
-  public boolean allWritten() {
+  public boolean allResponsesWritten() {
     return closingConnections.stream().allMatch(ClientConnection::isFlushed);
   }
 
@@ -201,7 +201,7 @@
   }
 
   /** Returns the number of descriptors that client connections hold. */
-  public int size() {
+  public int descriptorCount() {
     return openConnections.size() + closingConnections.size();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -31,7 +31,7 @@
   }
 
   /** Decodes this number of requests and encodes responses; returns how many were decoded. */
-  public static int play(int requests) {
+  public static int run(int requests) {
     RequestWarmUp warmUp = new RequestWarmUp();
     MessageReader reader = new MessageReader(PART_REQUEST.length, warmUp);
     for (int request = 0; request < requests; request++) {
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
@@ -77,7 +77,7 @@
    * returned.
    */
   public boolean takeCorrection() {
-    return eventAge.takeCorrection();
+    return eventAge.pollCorrection();
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -129,7 +129,7 @@
    * Aborts the poll in flight and polls the journal at another address, at once if this client was
    * started. The position in the journal is kept.
    */
-  public void moveTo(SocketAddress newAddress) {
+  public void changeAddress(SocketAddress newAddress) {
     address = newAddress;
     abortPendingPoll();
     if (started) {
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -69,7 +69,7 @@
    * Forwards the new entries that the configuration holds to the listener and advances the
    * position, like {@link #decode}. The entries may be older than the previous poll.
    */
-  public void playKnown(JsonReader reply, EndpointListener listener) {
+  public void decodeKnownEntries(JsonReader reply, EndpointListener listener) {
     decode(reply, listener, EntrySource.CONFIGURATION);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AdmissionControl.java
@@ -88,7 +88,7 @@
    * if the request waited for no lag.
    */
   private SocketReads.Backlog findBacklog(ClientConnection client, long nowNanos, long lagNanos) {
-    if (SocketReads.mustSettle(lagNanos)) {
+    if (SocketReads.mustBeReread(lagNanos)) {
       lastBacklog = new SocketReads.Backlog(nowNanos - lagNanos, nowNanos);
       return lastBacklog;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoints.java
@@ -178,7 +178,7 @@
     for (CacheEndpoint endpoint : byId.values()) {
       listedCount += endpoint.isGone() ? 0 : 1;
       if (endpoint.pool != null) {
-        endpoint.pool.fail(
+        endpoint.pool.failWaiting(
             command -> !endpoint.isUp() || !isSourceUp((OutboundAttempt) command),
             AttemptOutcome.WITHDRAWN);
       }
@@ -212,7 +212,7 @@
     pools()
         .forEach(
             pool ->
-                pool.fail(
+                pool.failWaiting(
                     command -> ((OutboundAttempt) command).isPurged(objectId, group),
                     AttemptOutcome.WITHDRAWN));
   }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
@@ -99,7 +99,7 @@
 
   /** Ends the attempt as not sent, without passing it to the connection pool. */
   void endUnsent() {
-    ended(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
+    onEnded(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
   }
 
   private void abandon(AttemptOutcome outcome, boolean timedOut) {
@@ -120,7 +120,7 @@
                 + outcome,
             e);
       }
-      ended(outcome, ResponseDetail.NONE, null);
+      onEnded(outcome, ResponseDetail.NONE, null);
     }
   }
 
@@ -154,7 +154,7 @@
   }
 
   @Override
-  protected void ended(AttemptOutcome outcome, ResponseDetail detail, Buffer body) {
+  protected void onEnded(AttemptOutcome outcome, ResponseDetail detail, Buffer body) {
     if (!hasEnded) {
       hasEnded = true;
       listener.attemptEnded(this, outcome, detail, body);
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestPipeline.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestPipeline.java
@@ -147,7 +147,7 @@
 
   /** Returns how many requests, endpoints and client connections are held. */
   public int resourceCount() {
-    return context.inFlight().size() + endpoints.size() + clients.size();
+    return context.inFlight().size() + endpoints.size() + clients.descriptorCount();
   }
 
   /** Closes all connections to caches. */
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestReceiver.java
@@ -77,7 +77,7 @@
 
   @Override
   public void descriptorReleased(ClientConnection client) {
-    clients.released(client);
+    clients.descriptorReleased(client);
   }
 
   private void cancel(ClientRequest request) {
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
@@ -267,7 +267,7 @@
     if (request != null && request.backlog != null && !request.settled) {
       request.settled =
           request.answered
-              || socketReads.isSettled(
+              || socketReads.wasReread(
                   request.receivedAtNanos, context.inFlight().lastReceivedAtNanos(request.client));
       return request.settled;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -200,7 +200,7 @@
   }
 
   @Override
-  public boolean endpointListOnRequest() {
+  public boolean requiresEndpointSubscription() {
     return endpointListOnRequest;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
@@ -67,7 +67,7 @@
    * Sets the limit of the server that listens next; does nothing if the Vert.x instance uses
    * another transport.
    */
-  public static void limitNext(Vertx vertx, AcceptLimit limit) {
+  public static void limitNextServer(Vertx vertx, AcceptLimit limit) {
     if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport transport) {
       transport.nextLimit = limit;
     }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionCloseTest.java
@@ -43,7 +43,7 @@
  * request without a response was not read.
  */
 @Timeout(30)
-class ClientConnectionEndingsTest implements ClientHandler {
+class ClientConnectionCloseTest implements ClientHandler {
   private static final int MAX_CONNECTIONS = 20;
   private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
 
@@ -83,7 +83,7 @@
                   eventLoopThread = Thread.currentThread();
                   heldConnections.incrementAndGet();
                   clients.add(new ClientConnection(socket, accounting, clock::nowNanos, this));
-                  maxHeldConnections.accumulateAndGet(clients.size(), Math::max);
+                  maxHeldConnections.accumulateAndGet(clients.descriptorCount(), Math::max);
                 })
             .listen(0, "127.0.0.1")
             .toCompletionStage()
@@ -139,7 +139,7 @@
 
   @Override
   public void descriptorReleased(ClientConnection connection) {
-    clients.released(connection);
+    clients.descriptorReleased(connection);
     heldConnections.decrementAndGet();
   }
 
@@ -211,7 +211,7 @@
   void requestsAfterTheEndOfAConnectionAreNotRead(Ending ending) throws Exception {
     TestClient client = client();
     if (ending == Ending.ACCEPTED_AFTER_SHUTDOWN) {
-      runOnEventLoop(clients::end);
+      runOnEventLoop(clients::halfCloseAll);
     } else {
       client.send(encodePartRequest(1)).receive();
     }
@@ -224,7 +224,7 @@
         }
         expectedRequestsRead += MAX_CONNECTIONS;
       }
-      case SHUTDOWN -> runOnEventLoop(clients::end);
+      case SHUTDOWN -> runOnEventLoop(clients::halfCloseAll);
       default -> client = client();
     }
     assertTrue(client.isClosed());
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientDisconnectTest.java
@@ -36,7 +36,7 @@
  * close or the cancellation.
  */
 @Timeout(60)
-class ClientGoneTest {
+class ClientDisconnectTest {
   private static final long EVENT_LOOP_LAG_MILLIS = 300;
   private static final long TIMEOUT_SECONDS = 20;
   private static final int PIPELINED_REQUESTS = 32;
@@ -92,7 +92,7 @@
       pipeline.writeBytes(TestClient.encodeCancel(number));
     }
     var writing =
-        testbed.threads.submit(
+        testbed.executor.submit(
             () -> {
               client.send(pipeline.toByteArray());
               if (ending.equals("reset")) {
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -174,7 +174,7 @@
   void clientThatDoesNotReadLosesOnlyItsConnection() throws Exception {
     TestClient slowClient = testbed.client();
     byte[] part = new byte[240_000];
-    testbed.threads.execute(
+    testbed.executor.execute(
         () -> {
           try {
             while (true) {
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -57,7 +57,7 @@
         int port = awaitServing(process.inputReader());
         File descriptorFolder = new File("/proc/" + process.pid() + "/fd");
         Future<?> counting =
-            testbed.threads.submit(
+            testbed.executor.submit(
                 () -> {
                   while (!countingEnds.get()) {
                     String[] open = descriptorFolder.list();
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -39,7 +39,7 @@
     String firstAddress =
         switch (firstFault) {
           case "silent" -> firstJournal.address();
-          case "unreachable" -> testbed.fullAddress();
+          case "unreachable" -> testbed.connectTimeoutAddress();
           default -> testbed.refusingAddress();
         };
     GatewayOptions firstOptions = testbed.options(folder, firstAddress);
@@ -142,15 +142,15 @@
         () -> received.stream().anyMatch(command -> command.atNanos() > startNanos));
     long drainedAtNanos = System.nanoTime();
     journal.listEndpoint("c0", drained.address(), "box", "draining");
-    int[] lastReceived = {received.size(), number};
+    int[] lastReceived = {received.size(), lastRequestNumber};
     requestUntil(
         client,
         () -> { // Until each part was requested three times without a request to c0.
           if (received.size() > lastReceived[0]) {
             lastReceived[0] = received.size();
-            lastReceived[1] = number;
+            lastReceived[1] = lastRequestNumber;
           }
-          return number - lastReceived[1] > 3 * PARTS;
+          return lastRequestNumber - lastReceived[1] > 3 * PART_COUNT;
         });
     long lastNanos = received.stream().mapToLong(TimedCommand::atNanos).max().orElseThrow();
     assertTrue(
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -220,7 +220,7 @@
     do { // Until a long poll has been open for 300 ms, so that 1 s or more of its wait is left.
       earlierPoll = testbed.journal.polls.poll(300, TimeUnit.MILLISECONDS);
     } while (earlierPoll != null);
-    testbed.journal.truncatesNextReply = true;
+    testbed.journal.truncateNextReply = true;
     testbed.journal.listEndpoint("c0", testbed.origin.address(), "box", "draining");
     String nextPoll = testbed.journal.polls.poll(1200, TimeUnit.MILLISECONDS);
     assertNotNull(nextPoll);
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -58,7 +58,7 @@
       testbed.close();
       testbed = new GatewayTestbed();
       StubCache origin = testbed.cache();
-      String unreachableAddress = testbed.fullAddress();
+      String unreachableAddress = testbed.connectTimeoutAddress();
       testbed.journal.listEndpoint("c0", unreachableAddress, "box", "ready");
       testbed.journal.listEndpoint("o0", origin.address(), "origin", "ready");
       Map<String, String> environment = testbed.environment(folder);
@@ -184,7 +184,7 @@
   void attemptWaitingForAConnectionIsNeverSentWhenItsObjectIsPurged(String purgedField)
       throws Exception {
     try (GatewayTestbed otherTestbed = new GatewayTestbed()) {
-      otherTestbed.journal.listEndpoint("c0", otherTestbed.fullAddress(), "box", "ready");
+      otherTestbed.journal.listEndpoint("c0", otherTestbed.connectTimeoutAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(otherTestbed.environment(folder));
       BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
       otherTestbed.start(
--- a/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
@@ -51,8 +51,8 @@
       caches.add(testbed.origin);
       commandsByCache = handleAll(caches, FaultFixture::hang);
     } else {
-      testbed.journal.listEndpoint("c0", testbed.fullAddress(), "box", "ready");
-      testbed.journal.listEndpoint("o0", testbed.fullAddress(), "origin", "ready");
+      testbed.journal.listEndpoint("c0", testbed.connectTimeoutAddress(), "box", "ready");
+      testbed.journal.listEndpoint("o0", testbed.connectTimeoutAddress(), "origin", "ready");
       testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
     }
     TestClient earlyClient = testbed.client();
@@ -69,8 +69,8 @@
     var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     var answers =
         List.of(
-            testbed.threads.submit(() -> readAllAnswers(earlyClient, deadlines)),
-            testbed.threads.submit(() -> readAllAnswers(lateClient, deadlines)));
+            testbed.executor.submit(() -> readAllAnswers(earlyClient, deadlines)),
+            testbed.executor.submit(() -> readAllAnswers(lateClient, deadlines)));
     for (int allowanceMillis : allowancesMillis) {
       requestEachClass(lateClient, allowanceMillis, deadlines);
       Thread.sleep(50); // Spreads the requests over the first part of the shutdown.
@@ -82,7 +82,7 @@
     }
     stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertTrue(millisSince(stoppedAt) < 3700, "ended after " + millisSince(stoppedAt) + " ms");
-    for (int answer = 1; answer <= number; answer++) {
+    for (int answer = 1; answer <= lastRequestNumber; answer++) {
       assertTrue(attemptsOf(commandsByCache, answer).size() <= MAX_ATTEMPTS);
     }
   }
@@ -100,17 +100,17 @@
       throws Exception {
     List<StubCache> caches = new ArrayList<>(testbed.start(folder, 5, testbed.journal.address()));
     caches.add(testbed.origin);
-    List<List<TimedCommand>> commandsByCache = handleAll(caches, failing(failure));
+    List<List<TimedCommand>> commandsByCache = handleAll(caches, faultHandler(failure));
     TestClient client = testbed.client();
     for (int part = 0; part < 5; part++) {
       for (String trafficClass : List.of("parts", "orders", "marks")) {
         long sentAt = System.nanoTime();
-        client.sendRequest(++number, trafficClass, LONG_MILLIS, part);
+        client.sendRequest(++lastRequestNumber, trafficClass, REQUEST_TIMEOUT_MILLIS, part);
         ClientAnswer answer = client.receive();
-        assertEquals(number, answer.messageId());
+        assertEquals(lastRequestNumber, answer.messageId());
         assertNotNull(answer.error());
         assertTrue(
-            millisSince(sentAt) < LONG_MILLIS / 2,
+            millisSince(sentAt) < REQUEST_TIMEOUT_MILLIS / 2,
             trafficClass + " after " + millisSince(sentAt) + " ms");
         if (trafficClass.equals("orders") && mayHaveRun) {
           assertEquals("Internal", answer.error(), "the request may have been executed");
@@ -118,7 +118,7 @@
         assertNoFurtherAnswer(client);
       }
     }
-    for (int requestNumber = 1; requestNumber <= number; requestNumber++) {
+    for (int requestNumber = 1; requestNumber <= lastRequestNumber; requestNumber++) {
       int maxAttempts = requestNumber % 3 == 2 && mayHaveRun ? 1 : MAX_ATTEMPTS;
       int attempts = attemptsOf(commandsByCache, requestNumber).size();
       assertTrue(
@@ -138,15 +138,15 @@
     for (int part = 0; part < 5; part++) {
       for (String trafficClass : List.of("parts", "orders", "marks")) {
         long sentAt = System.nanoTime();
-        client.sendRequest(++number, trafficClass, LONG_MILLIS, part);
+        client.sendRequest(++lastRequestNumber, trafficClass, REQUEST_TIMEOUT_MILLIS, part);
         ClientAnswer answer = client.receive();
         assertEquals(
             "Overloaded",
             answer.error(),
-            "request " + number + " of " + trafficClass + " was not executed");
-        assertEquals(number, answer.messageId());
+            "request " + lastRequestNumber + " of " + trafficClass + " was not executed");
+        assertEquals(lastRequestNumber, answer.messageId());
         assertTrue(
-            millisSince(sentAt) < LONG_MILLIS / 2,
+            millisSince(sentAt) < REQUEST_TIMEOUT_MILLIS / 2,
             trafficClass + " after " + millisSince(sentAt) + " ms");
         assertNoFurtherAnswer(client);
       }
@@ -173,14 +173,14 @@
           if (isFirst) {
             firstAttempts.add(command);
           } else {
-            failing(failure).handle(command);
+            faultHandler(failure).handle(command);
           }
         };
     List<List<TimedCommand>> commandsByCache = handleAll(caches, commandHandler);
     TestClient client = testbed.client();
     int requestCount = 3;
     for (int requestNumber = 1; requestNumber <= requestCount; requestNumber++) {
-      client.sendRequest(requestNumber, "parts", LONG_MILLIS, 0);
+      client.sendRequest(requestNumber, "parts", REQUEST_TIMEOUT_MILLIS, 0);
     }
     Conditions.await(() -> firstAttempts.size() == requestCount, "the first attempts");
     Conditions.await(
@@ -221,9 +221,9 @@
       String behavior, boolean connected) throws Exception {
     List<StubCache> caches = new ArrayList<>(testbed.start(folder, 2, testbed.journal.address()));
     caches.add(testbed.origin);
-    int connectingRequests = connected ? 2 * PARTS : 0;
+    int connectingRequests = connected ? 2 * PART_COUNT : 0;
     CommandHandler commandHandler =
-        behavior.equals("hang") ? FaultFixture::hang : failing(behavior);
+        behavior.equals("hang") ? FaultFixture::hang : faultHandler(behavior);
     List<List<TimedCommand>> commandsByCache =
         handleAll(
             caches,
@@ -235,22 +235,24 @@
               }
             });
     TestClient client = testbed.client();
-    while (number < connectingRequests) {
-      requestServed(client);
+    while (lastRequestNumber < connectingRequests) {
+      assertRequestServed(client);
     }
     for (int allowanceMillis = 1; allowanceMillis <= 5; allowanceMillis++) {
       for (String trafficClass : List.of("parts", "orders", "marks")) {
         long sentAt = System.nanoTime();
-        client.sendRequest(++number, trafficClass, allowanceMillis, allowanceMillis);
-        assertEquals(number, client.receive().messageId());
+        client.sendRequest(++lastRequestNumber, trafficClass, allowanceMillis, allowanceMillis);
+        assertEquals(lastRequestNumber, client.receive().messageId());
         assertTrue(
-            millisSince(sentAt) < LATE_MILLIS,
+            millisSince(sentAt) < MAX_LATENESS_MILLIS,
             trafficClass + " after " + millisSince(sentAt) + " ms");
         assertNoFurtherAnswer(client);
-        Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Spaces the requests.
+        Thread.sleep(REQUEST_INTERVAL_MILLIS); // Spaces the requests.
       }
     }
-    for (int requestNumber = connectingRequests + 1; requestNumber <= number; requestNumber++) {
+    for (int requestNumber = connectingRequests + 1;
+        requestNumber <= lastRequestNumber;
+        requestNumber++) {
       List<TimedCommand> attempts = attemptsOf(commandsByCache, requestNumber);
       assertTrue(
           attempts.size() <= 1, attempts.size() + " attempts of a request with milliseconds left");
@@ -278,7 +280,7 @@
    */
   @Test
   void requestThatTimesOutWhileConnectingEjectsNoEndpoint() throws Exception {
-    testbed.journal.listEndpoint("c0", testbed.fullAddress(), "box", "ready");
+    testbed.journal.listEndpoint("c0", testbed.connectTimeoutAddress(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
     RequestRouter router = new RequestRouter(options.routingConfig());
     List<EndpointHealthStatus> healthStatuses = new CopyOnWriteArrayList<>();
@@ -323,7 +325,7 @@
       assertTrue(
           answered.add(answer.messageId()), "second answer to request " + answer.messageId());
       assertTrue(
-          lateMillis < LATE_MILLIS,
+          lateMillis < MAX_LATENESS_MILLIS,
           answer.messageId() + " answered " + lateMillis + " ms after its deadline");
     }
     return answered;
@@ -338,8 +340,9 @@
       throws Exception {
     for (String trafficClass : List.of("parts", "orders", "marks")) {
       deadlines.put(
-          (long) ++number, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(allowanceMillis));
-      client.sendRequest(number, trafficClass, allowanceMillis, number);
+          (long) ++lastRequestNumber,
+          System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(allowanceMillis));
+      client.sendRequest(lastRequestNumber, trafficClass, allowanceMillis, lastRequestNumber);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -41,7 +41,7 @@
             command -> {
               executions.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
               serve(command);
-              failing(ending).handle(command);
+              faultHandler(ending).handle(command);
               endedConnections.incrementAndGet();
             });
     TestClient client = testbed.client();
@@ -49,23 +49,24 @@
       if (!sentBeforeEndIsRead) {
         awaitEndsRead(client, endedConnections);
       }
-      requestServed(client);
+      assertRequestServed(client);
       if (!sentBeforeEndIsRead) {
         awaitEndsRead(client, endedConnections);
       }
-      client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
+      client.sendRequest(
+          ++lastRequestNumber, "orders", REQUEST_TIMEOUT_MILLIS, lastRequestNumber % PART_COUNT);
       ClientAnswer answer = client.receive();
-      assertEquals(number, answer.messageId());
+      assertEquals(lastRequestNumber, answer.messageId());
       int maxAttempts = "Overloaded".equals(answer.error()) ? 0 : 1;
       assertTrue(
-          executions.getOrDefault(number, 0) <= maxAttempts,
-          "run " + executions.get(number) + " times: " + answer.error());
+          executions.getOrDefault(lastRequestNumber, 0) <= maxAttempts,
+          "run " + executions.get(lastRequestNumber) + " times: " + answer.error());
       if (!sentBeforeEndIsRead) {
         assertEquals(null, answer.error(), "the gateway had read the end of its connection");
       }
     }
     assertNoFurtherAnswer(client);
-    for (int requestNumber = 1; requestNumber <= number; requestNumber++) {
+    for (int requestNumber = 1; requestNumber <= lastRequestNumber; requestNumber++) {
       assertTrue(attemptsOf(receivedCommands, requestNumber).size() <= MAX_ATTEMPTS);
     }
   }
@@ -92,18 +93,18 @@
             });
     TestClient client = testbed.client();
     int timeoutMillis = 1500;
-    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
+    client.sendRequest(++lastRequestNumber, trafficClass, timeoutMillis, 0);
     assertEquals(null, client.receive().error());
     long startNanos = System.nanoTime();
-    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
+    client.sendRequest(++lastRequestNumber, trafficClass, timeoutMillis, 0);
     ClientAnswer answer = client.receive();
-    assertEquals(number, answer.messageId());
-    assertTrue(millisSince(startNanos) < timeoutMillis + LATE_MILLIS);
+    assertEquals(lastRequestNumber, answer.messageId());
+    assertTrue(millisSince(startNanos) < timeoutMillis + MAX_LATENESS_MILLIS);
     if (trafficClass.equals("orders")) {
-      assertEquals(1, attemptsOf(receivedCommands, number).size());
+      assertEquals(1, attemptsOf(receivedCommands, lastRequestNumber).size());
       assertEquals("Internal", answer.error(), "it may have been executed");
     }
-    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
+    client.sendRequest(++lastRequestNumber, trafficClass, timeoutMillis, 0);
     assertEquals(null, client.receive().error(), "served on another connection");
     assertNoFurtherAnswer(client);
   }
@@ -124,7 +125,7 @@
         });
     TestClient client = testbed.client();
     for (int one = 0; one < 3; one++) {
-      client.sendRequest(++number, "parts", LONG_MILLIS, 0);
+      client.sendRequest(++lastRequestNumber, "parts", REQUEST_TIMEOUT_MILLIS, 0);
     }
     for (int one = 0; one < 3; one++) {
       assertEquals(null, client.receive().error());
@@ -149,7 +150,7 @@
           });
     }
     TestClient client = testbed.client();
-    client.sendRequest(1, "parts", LONG_MILLIS, 0);
+    client.sendRequest(1, "parts", REQUEST_TIMEOUT_MILLIS, 0);
     assertEquals(null, client.receive().error());
   }
 
@@ -159,7 +160,8 @@
    */
   private void awaitEndsRead(TestClient client, AtomicInteger endedConnections) throws Exception {
     Conditions.await(
-        () -> endedConnections.get() == number, "the connection of each request has ended");
+        () -> endedConnections.get() == lastRequestNumber,
+        "the connection of each request has ended");
     client.requestStatus();
     client.requestStatus();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -276,7 +276,7 @@
   @Test
   void acceptedConnectionReportsItsTimeInThePausedAcceptQueue() throws Exception {
     Queue<Long> queuedNanos = new ConcurrentLinkedQueue<>();
-    SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
+    SingleEventLoopTransport.limitNextServer(vertx, new AcceptLimit(4, System::nanoTime));
     int port =
         vertx
             .createNetServer()
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -43,7 +43,7 @@
       pool.send(
           new CacheCommand(REQUEST_ID, REQUEST_ID, REQUEST_ID, REQUEST_ID, 1000, List.of()) {
             @Override
-            protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
+            protected void onEnded(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
               outcomes.add(outcome);
             }
 
@@ -104,7 +104,7 @@
   private static CacheCommand newCommand(byte[] body) {
     return new CacheCommand(REQUEST_ID, REQUEST_ID, REQUEST_ID, body, 1000, List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
+      protected void onEnded(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -152,7 +152,7 @@
 
   @Test
   void warmUpParsesWhatItEncodes() {
-    assertEquals(20, ReplyWarmUp.play(20));
+    assertEquals(20, ReplyWarmUp.run(20));
   }
 
   private CacheCommand newCommand() {
@@ -168,7 +168,7 @@
         2_000_000_000L,
         List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
+      protected void onEnded(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
         outcomes.add(outcome);
       }
     };
@@ -194,7 +194,7 @@
     CacheCommand drained = newCommand();
     pool.send(drained);
     pool.send(newCommand());
-    pool.fail(one -> one == drained, AttemptOutcome.NOT_SENT);
+    pool.failWaiting(one -> one == drained, AttemptOutcome.NOT_SENT);
     assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     connection.fail("refused");
     assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.CONNECT_FAILED), outcomes);
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -151,7 +151,7 @@
 
   @Test
   void warmUpDecodesWhatItEncodes() {
-    assertEquals(20, RequestWarmUp.play(20));
+    assertEquals(20, RequestWarmUp.run(20));
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -18,25 +18,25 @@
  */
 public abstract class FaultFixture {
   /** A request timeout that leaves time for retries. */
-  protected static final int LONG_MILLIS = 4000;
+  protected static final int REQUEST_TIMEOUT_MILLIS = 4000;
 
   /**
    * How long after the request's deadline an answer counts as late, without credit. After that the
    * request counts as lost.
    */
-  protected static final long LATE_MILLIS = 500;
+  protected static final long MAX_LATENESS_MILLIS = 500;
 
   protected static final int MAX_ATTEMPTS = 3;
 
-  protected static final long BETWEEN_REQUESTS_MILLIS = 10;
+  protected static final long REQUEST_INTERVAL_MILLIS = 10;
 
-  protected static final int PARTS = 16;
+  protected static final int PART_COUNT = 16;
 
   @TempDir protected Path folder;
 
   protected GatewayTestbed testbed;
 
-  protected int number;
+  protected int lastRequestNumber;
 
   @BeforeEach
   protected void start() throws Exception {
@@ -83,11 +83,11 @@
   protected static void hang(ReceivedCommand command) {}
 
   /** Sends the next request and asserts that the answer is the body of the requested part. */
-  protected void requestServed(TestClient client) throws Exception {
-    int part = ++number % PARTS;
-    client.sendRequest(number, "parts", LONG_MILLIS, part);
+  protected void assertRequestServed(TestClient client) throws Exception {
+    int part = ++lastRequestNumber % PART_COUNT;
+    client.sendRequest(lastRequestNumber, "parts", REQUEST_TIMEOUT_MILLIS, part);
     ClientAnswer answer = client.receive();
-    assertEquals(null, answer.error(), "request " + number);
+    assertEquals(null, answer.error(), "request " + lastRequestNumber);
     assertEquals(
         "part " + part, new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
   }
@@ -102,8 +102,8 @@
       assertTrue(
           millisSince(startNanos) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
           "the awaited condition did not hold in time");
-      requestServed(client);
-      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Limits the request rate.
+      assertRequestServed(client);
+      Thread.sleep(REQUEST_INTERVAL_MILLIS); // Limits the request rate.
     }
   }
 
@@ -120,7 +120,7 @@
     assertEquals(9999, client.requestStatus().messageId());
   }
 
-  protected static CommandHandler failing(String fault) {
+  protected static CommandHandler faultHandler(String fault) {
     return switch (fault) {
       case "close" -> command -> command.socket().close();
       case "reset" -> ReceivedCommand::reset;
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
@@ -46,8 +46,8 @@
       """;
 
   public final Vertx vertx = Vertx.vertx();
-  public final ExecutorService threads = Executors.newCachedThreadPool();
-  public final StubJournal journal = new StubJournal(threads);
+  public final ExecutorService executor = Executors.newCachedThreadPool();
+  public final StubJournal journal = new StubJournal(executor);
   private final List<Closeable> resources = new ArrayList<>();
   public Gateway gateway;
   public StubCache origin;
@@ -106,7 +106,7 @@
 
   /** Creates a listening cache. */
   public StubCache cache() throws IOException {
-    StubCache cache = new StubCache(threads);
+    StubCache cache = new StubCache(executor);
     resources.add(cache);
     return cache;
   }
@@ -115,7 +115,7 @@
    * Returns an address at which connects time out: the accept backlog of its socket is full, so
    * connections are neither established nor refused.
    */
-  public String fullAddress() throws IOException {
+  public String connectTimeoutAddress() throws IOException {
     ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
     resources.add(server);
     try {
@@ -147,7 +147,7 @@
       resource.close();
     }
     journal.server.stop(0);
-    threads.shutdownNow();
+    executor.shutdownNow();
     vertx
         .close()
         .toCompletionStage()
@@ -182,7 +182,7 @@
    * does not fail the test.
    */
   public void runInBackground(BackgroundTask task) {
-    threads.execute(
+    executor.execute(
         () -> {
           try {
             task.run();
@@ -198,14 +198,14 @@
    */
   public List<TimedCommand> handleCommands(StubCache cache, CommandHandler handler) {
     List<TimedCommand> received = new CopyOnWriteArrayList<>();
-    threads.execute(
+    executor.execute(
         () -> {
           try {
             while (true) {
               ReceivedCommand command = cache.commands.take();
               received.add(new TimedCommand(command, System.nanoTime()));
               if (command.element(0).equals("want")) {
-                threads.execute(() -> handleOnce(handler, command));
+                executor.execute(() -> handleOnce(handler, command));
               }
             }
           } catch (InterruptedException e) {
@@ -253,7 +253,7 @@
 
   /** Starts another journal service with the present entries of the testbed's journal. */
   public StubJournal copyOfJournal() throws IOException {
-    StubJournal copy = new StubJournal(threads);
+    StubJournal copy = new StubJournal(executor);
     copy.copyEntries(journal);
     resources.add(() -> copy.server.stop(0));
     return copy;
@@ -271,7 +271,7 @@
 
   /** Starts a relay to a journal. */
   public JournalRelay relay(StubJournal target) throws IOException {
-    JournalRelay relay = new JournalRelay(target, threads);
+    JournalRelay relay = new JournalRelay(target, executor);
     resources.add(relay);
     return relay;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
@@ -32,7 +32,7 @@
    * Whether the next reply of more than 40 bytes stops after half of its body and keeps the
    * connection open; reset by that reply.
    */
-  public volatile boolean truncatesNextReply;
+  public volatile boolean truncateNextReply;
 
   StubJournal(ExecutorService threads) throws IOException {
     server.createContext("/journal", this::handlePoll);
@@ -110,8 +110,8 @@
     }
     byte[] bytes = (reply == null ? entriesSince(tail) : reply).getBytes(StandardCharsets.UTF_8);
     exchange.sendResponseHeaders(200, bytes.length);
-    if (truncatesNextReply && bytes.length > 40) {
-      truncatesNextReply = false;
+    if (truncateNextReply && bytes.length > 40) {
+      truncateNextReply = false;
       exchange.getResponseBody().write(bytes, 0, bytes.length / 2);
       exchange.getResponseBody().flush();
       return;
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -33,8 +33,8 @@
     ExperimentReport report = new ExperimentReport(seed);
     long phaseMillis = seconds * 1000L / 3;
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
-      testbed.open(1, EDGE_CACHES);
-      testbed.serve(
+      testbed.startStandIns(1, EDGE_CACHES);
+      testbed.startGateway(
           (vertx, listener, random) ->
               new RegistrySource(
                   vertx,
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -33,7 +33,7 @@
 @SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class LoopbackTestbed implements AutoCloseable {
   /** The prefix of all the registry's keys. */
-  public static final String PREFIX = "amberpath/lab/";
+  public static final String KEY_PREFIX = "amberpath/lab/";
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -99,7 +99,7 @@
    * @param registryEndpointCount how many endpoints the registry listens on
    * @param edgeCacheCount how many edge caches there are, next to one hub and one origin
    */
-  public void open(int registryEndpointCount, int edgeCacheCount) throws Exception {
+  public void startStandIns(int registryEndpointCount, int edgeCacheCount) throws Exception {
     EventLoopWaiter.await(
         callOnLoop(
             () -> {
@@ -134,7 +134,7 @@
             : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
     String address = caches.get(id).address();
     write(
-        PREFIX + RecordCodec.CACHES_PREFIX + id,
+        KEY_PREFIX + RecordCodec.CACHES_PREFIX + id,
         Optional.of(
             RecordCodec.encode(
                 new RegistryRecord.Cache(
@@ -146,7 +146,7 @@
    * Call on the stand-ins' event loop only.
    */
   public void deleteCache(String id) {
-    write(PREFIX + RecordCodec.CACHES_PREFIX + id, Optional.empty());
+    write(KEY_PREFIX + RecordCodec.CACHES_PREFIX + id, Optional.empty());
   }
 
   /**
@@ -157,7 +157,7 @@
     Map<String, byte[]> transaction = new TreeMap<>();
     transaction.put(key, value.orElse(null));
     transaction.put(
-        PREFIX + RecordCodec.TIP_KEY,
+        KEY_PREFIX + RecordCodec.TIP_KEY,
         Long.toString(++writeCount).getBytes(StandardCharsets.US_ASCII));
     registry.write(transaction);
   }
@@ -174,7 +174,7 @@
     return new RegistrySettings(
         protocol,
         endpoints,
-        PREFIX,
+        KEY_PREFIX,
         null,
         null,
         null,
@@ -190,7 +190,7 @@
   }
 
   /** Starts the gateway; the factory makes the source from which it receives its caches. */
-  public void serve(EndpointSource.Factory factory) throws Exception {
+  public void startGateway(EndpointSource.Factory factory) throws Exception {
     gateway =
         new Gateway(
             gatewayVertx, LabSettings.options(seed, null), new GatewayExtensions(factory, null));
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -94,8 +94,8 @@
   private static RateResult measure(long seed, int rate, int seconds, PrintStream out)
       throws Exception {
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
-      testbed.open(1, EDGE_CACHES);
-      testbed.serve(
+      testbed.startStandIns(1, EDGE_CACHES);
+      testbed.startGateway(
           (vertx, listener, random) ->
               new RegistrySource(
                   vertx,
--- a/lab/src/main/java/org/amberpath/lab/PairedRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/PairedRuns.java
@@ -65,7 +65,7 @@
   }
 
   /** Returns the names of all figures, in the order in which the model reports them. */
-  public List<String> names() {
+  public List<String> figureNames() {
     return List.copyOf(results.get(0).values().iterator().next().keySet());
   }
 
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -159,7 +159,7 @@
   }
 
   /** Drops all stored parts of an object, as a cache does when it carries out a purge. */
-  public void drop(String object) {
+  public void dropObject(String object) {
     copies.keySet().removeIf(key -> key.startsWith(object + "/"));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -228,7 +228,7 @@
                 + ","));
     gateway =
         new GatewayProcess(
-            GatewayProcess.DEPLOYED_FLAGS,
+            GatewayProcess.DEPLOYED_JVM_FLAGS,
             List.of("org.amberpath.cli.Main", "serve"),
             Map.of("PROXY_CONFIG", config.toString()),
             log);
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -121,7 +121,7 @@
       }
       faults.drawFaults(plan.seconds());
       faults.timetable().print(out);
-      faults.timetable().play(System.nanoTime());
+      faults.timetable().run(System.nanoTime());
       EventLoopWaiter.runOnLoop(vertx, observer::faultsEnded);
       Thread.sleep(FAULT_FREE_MILLIS);
       report(testbed, faults, result);
@@ -180,7 +180,7 @@
       throws Exception {
     TaskStates states = taskStates(testbed);
     long oldestPurgeMillis = EventLoopWaiter.callOnLoop(vertx, observer::oldestPurgeMillis);
-    Map<String, Long> outcomes = testbed.settle();
+    Map<String, Long> outcomes = testbed.stopClientsAndCountOutcomes();
     outcomes.forEach(result::figure);
     testbed.auditor().figures().forEach(result::figure);
     result
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -42,7 +42,7 @@
             .figure("caches", caches)
             .figure("pairs", pairs);
     print(runs, out);
-    runs.names().forEach(name -> runs.reportMeans(name, result));
+    runs.figureNames().forEach(name -> runs.reportMeans(name, result));
     return result
         .bar("a cold cache is never overloaded", runs.allMatch("cold_fell", count -> count == 0))
         .bar(
@@ -61,7 +61,7 @@
         "alone",
         "probe",
         "probe and warm");
-    for (String name : runs.names()) {
+    for (String name : runs.figureNames()) {
       out.printf(
           Locale.ROOT,
           "%-36s %12.3f %12.3f %16.3f  %s%n",
--- a/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/SimulatedCandidate.java
@@ -109,7 +109,7 @@
     RegistryLeadership leadership =
         new RegistryLeadership(
             LeadershipModel.TIMINGS, new KeyClient(key, task), simulation.random().nextLong());
-    LeaseKey.Observed observed = key.observe();
+    LeaseKey.KeyState observed = key.observe();
     leadership.keyObserved(localNanos(), observed.term(), observed.held(), observed.modRevision());
     return leadership;
   }
@@ -289,7 +289,7 @@
     }
 
     @Override
-    protected void runAnswer(Runnable answer) {
+    protected void runResponseHandler(Runnable answer) {
       runAndTrace(task, answer);
     }
 
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -123,7 +123,7 @@
         timetable.add(at, "observe", observer::observe);
       }
       timetable.sort();
-      timetable.play(startedNanos);
+      timetable.run(startedNanos);
       long settledAfterMillis = awaitSettled(observer);
       double served = testbed.servedShare(startedNanos, System.nanoTime());
       String incompleteViews = settledAfterMillis < 0 ? observer.describeIncompleteViews() : "";
@@ -154,12 +154,12 @@
       long startedNanos = System.nanoTime();
       Timetable timetable = timetable(testbed, observer);
       timetable.sort();
-      timetable.play(startedNanos);
+      timetable.run(startedNanos);
       Thread.sleep(MAX_SETTLE_MILLIS);
       double served = testbed.servedShare(startedNanos, System.nanoTime());
       out.println(
           "without [fleet]: "
-              + testbed.settle()
+              + testbed.stopClientsAndCountOutcomes()
               + ", violations: "
               + testbed.auditor().violations());
       return served;
@@ -168,7 +168,7 @@
 
   private static Map<String, Long> reportService(
       ProcessTestbed testbed, double served, ExperimentReport result) throws Exception {
-    Map<String, Long> outcomes = testbed.settle();
+    Map<String, Long> outcomes = testbed.stopClientsAndCountOutcomes();
     outcomes.forEach(result::figure);
     testbed.auditor().figures().forEach(result::figure);
     result
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -177,7 +177,7 @@
     }
     if (protocol.phase() != SwimProtocol.Phase.SETTLED
         && running.size() * 2 > members.size()
-        && protocol.countedMembers() < 2 * running.size()) {
+        && protocol.quotaDivisor() < 2 * running.size()) {
       throw new InvariantViolation(
           "faults ended, but " + member.name() + " is in phase " + protocol.phase());
     }
@@ -216,7 +216,7 @@
         + " "
         + protocol.phase()
         + " of "
-        + protocol.countedMembers()
+        + protocol.quotaDivisor()
         + ": "
         + protocol.quotaShare();
   }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -93,7 +93,7 @@
             lost ->
                 testbed
                     .auditor()
-                    .violation(
+                    .recordViolation(
                         slot.name() + " reports " + lost.name() + " as lost, which is running"));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
@@ -165,8 +165,8 @@
       simulation.scheduler().schedule(pausedUntilNanos, () -> receive(forGeneration, message));
     } else if (replayFilter.tryExamine(nowNanos)) {
       switch (replayFilter.check(nowNanos, message)) {
-        case TAKEN -> protocol.messageReceived(nowNanos, message);
-        case GREETED -> protocol.greet(nowNanos, message.sender());
+        case ACCEPTED -> protocol.messageReceived(nowNanos, message);
+        case WRONG_RECIPIENT -> protocol.greet(nowNanos, message.sender());
         default -> model.figures().datagramRejected();
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/SizedFleetMember.java
@@ -95,8 +95,8 @@
     long nowNanos = fleet.scheduler().nowNanos();
     if (replayFilter.tryExamine(nowNanos)) {
       switch (replayFilter.check(nowNanos, message)) {
-        case TAKEN -> protocol.messageReceived(nowNanos, message);
-        case GREETED -> protocol.greet(nowNanos, message.sender());
+        case ACCEPTED -> protocol.messageReceived(nowNanos, message);
+        case WRONG_RECIPIENT -> protocol.greet(nowNanos, message.sender());
         default -> {}
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
@@ -62,7 +62,7 @@
   }
 
   /** Handles the state of the registry's key: the one read at the start, or a change of it. */
-  void keyObserved(LeaseKey.Observed observed) {
+  void keyObserved(LeaseKey.KeyState observed) {
     leadership.keyObserved(localNanos(), observed.term(), observed.held(), observed.modRevision());
     scheduleTick();
   }
@@ -191,7 +191,7 @@
     }
 
     @Override
-    protected void runAnswer(Runnable answer) {
+    protected void runResponseHandler(Runnable answer) {
       answer.run();
       scheduleTick();
     }
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
@@ -42,7 +42,7 @@
             .figure("pairs", pairs)
             .figure("origin_bears", originCapacity);
     print(runs, out);
-    runs.names().forEach(name -> runs.reportMeans(name, result));
+    runs.figureNames().forEach(name -> runs.reportMeans(name, result));
     return result.bar(
         "a cold cache is never overloaded", runs.allMatch("cold_fell", count -> count == 0));
   }
@@ -55,7 +55,7 @@
         "at once",
         "staggered",
         "by returns");
-    for (String name : runs.names()) {
+    for (String name : runs.figureNames()) {
       out.printf(
           Locale.ROOT,
           "%-40s %12.3f %12.3f %12.3f  %s%n",
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -57,8 +57,8 @@
       throws Exception {
     ExperimentReport result = new ExperimentReport(seed).figure("form", protocol.name());
     try (testbed) {
-      testbed.open(ENDPOINTS, EDGE_CACHES);
-      testbed.serve(
+      testbed.startStandIns(ENDPOINTS, EDGE_CACHES);
+      testbed.startGateway(
           (vertx, listener, random) ->
               new RegistrySource(
                   vertx,
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryFaultInjector.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryFaultInjector.java
@@ -134,7 +134,9 @@
       case 4 -> purge(1L + random.nextInt(OBJECTS));
       case 5 ->
           testbed.write(
-              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + RegistryJudge.UNREADABLE_CACHE,
+              LoopbackTestbed.KEY_PREFIX
+                  + RecordCodec.CACHES_PREFIX
+                  + RegistryJudge.UNREADABLE_CACHE,
               Optional.of(new byte[] {'{', (byte) random.nextInt(256)}));
       default -> {
         judge.cacheReady(id);
@@ -151,12 +153,12 @@
     purgeCount++;
     long atMillis = System.currentTimeMillis();
     testbed.write(
-        LoopbackTestbed.PREFIX + RecordCodec.PURGES_PREFIX + purgeCount,
+        LoopbackTestbed.KEY_PREFIX + RecordCodec.PURGES_PREFIX + purgeCount,
         Optional.of(RecordCodec.encode(new RegistryRecord.Purge(object, 0, atMillis))));
     String name = String.format("%016x", object);
     judge.objectPurged(name, atMillis);
     for (StandInCache cache : testbed.caches()) {
-      vertx.setTimer(1 + random.nextLong(MAX_PURGE_DELAY_MILLIS), timer -> cache.drop(name));
+      vertx.setTimer(1 + random.nextLong(MAX_PURGE_DELAY_MILLIS), timer -> cache.dropObject(name));
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -31,7 +31,8 @@
   private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
   private static final long UNJUDGED_AFTER_STALL_NANOS = 800 * NANOS_PER_MILLI;
   private static final int MAX_VIOLATIONS = 10;
-  private static final String CACHES_PREFIX = LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX;
+  private static final String CACHES_PREFIX =
+      LoopbackTestbed.KEY_PREFIX + RecordCodec.CACHES_PREFIX;
 
   private final LoopbackTestbed testbed;
   private final List<String> violations = new ArrayList<>();
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
@@ -17,7 +17,7 @@
    * @param held whether the key is held now
    * @param modRevision the revision of the key, one higher after each change of its holder
    */
-  public record Observed(long term, boolean held, long modRevision) {}
+  public record KeyState(long term, boolean held, long modRevision) {}
 
   /** The terms under which a candidate may acquire the key. */
   public enum TermRule {
@@ -36,7 +36,7 @@
   private final long leaseNanos;
   private final TermRule termRule;
   private final List<P> watchers;
-  private final BiConsumer<P, Observed> listener;
+  private final BiConsumer<P, KeyState> listener;
   private int holder = NO_HOLDER;
   private long term;
   private long modRevision;
@@ -55,7 +55,7 @@
       long leaseNanos,
       TermRule termRule,
       List<P> watchers,
-      BiConsumer<P, Observed> listener) {
+      BiConsumer<P, KeyState> listener) {
     this.simulation = simulation;
     this.leaseNanos = leaseNanos;
     this.termRule = termRule;
@@ -64,8 +64,8 @@
   }
 
   /** Returns the present state of the key. */
-  public Observed observe() {
-    return new Observed(term, holder != NO_HOLDER, modRevision);
+  public KeyState observe() {
+    return new KeyState(term, holder != NO_HOLDER, modRevision);
   }
 
   /** Returns the duration of a lease, in nanoseconds. */
@@ -148,7 +148,7 @@
    * Notifies all watchers of the present state of the key, each after a random delay of its own.
    */
   public void notifyWatchers() {
-    Observed observed = observe();
+    KeyState observed = observe();
     watchers.forEach(
         watcher ->
             watcher.scheduleAfter(
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
@@ -38,7 +38,7 @@
    * Runs the handler of a response in the process, together with whatever follows from a change of
    * its leadership.
    */
-  protected abstract void runAnswer(Runnable answer);
+  protected abstract void runResponseHandler(Runnable answer);
 
   /** Called when the leadership may need a timer at another time. */
   protected abstract void timerChanged();
@@ -75,7 +75,7 @@
   }
 
   private void sendToProcess(Runnable answer) {
-    process.scheduleAfter(drawOneWayDelayNanos(), () -> runAnswer(answer));
+    process.scheduleAfter(drawOneWayDelayNanos(), () -> runResponseHandler(answer));
   }
 
   private long drawOneWayDelayNanos() {
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -39,7 +39,7 @@
           "-Dvertx.disableDnsResolver=true");
 
   /** The JVM flags on the run line of deploy/balancer.toml. */
-  public static final List<String> DEPLOYED_FLAGS =
+  public static final List<String> DEPLOYED_JVM_FLAGS =
       List.of(
           "-Djava.net.preferIPv4Stack=true",
           "-XX:-UsePerfData",
--- a/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -330,7 +330,7 @@
    * Stops all clients, waits until open requests have ended, and returns the number of requests by
    * outcome.
    */
-  public Map<String, Long> settle() throws Exception {
+  public Map<String, Long> stopClientsAndCountOutcomes() throws Exception {
     runOnLoop(() -> slots.forEach(slot -> slot.loadGenerators().forEach(LoadGenerator::stop)));
     Thread.sleep(REQUEST_TIMEOUT_MILLIS + 2 * VIEW_POLL_MILLIS);
     return callOnLoop(() -> ServiceRecord.outcomes(slots));
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -77,7 +77,7 @@
    * Counts a violation, and keeps its message with the time since the start if fewer than {@value
    * #MAX_VIOLATIONS} are kept.
    */
-  public void violation(String message) {
+  public void recordViolation(String message) {
     violationCount++;
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add((System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI + " ms: " + message);
@@ -159,7 +159,7 @@
       if (drainedNanos != null) {
         latestAfterDrainNanos = Math.max(latestAfterDrainNanos, lastTickNanos - drainedNanos);
         if (lastTickNanos - drainedNanos > MAX_AFTER_DRAIN_NANOS) {
-          violation(
+          recordViolation(
               "rule 3: "
                   + cache
                   + (cache.equals(request.cacheId())
@@ -175,7 +175,7 @@
     if (LabSettings.ORDERS.equals(request.trafficClass()) && request.executes()) {
       String previousCache = executingCaches.putIfAbsent(request.requestId(), request.cacheId());
       if (previousCache != null) {
-        violation(
+        recordViolation(
             "rule 2: request "
                 + request.requestId()
                 + " was executed at "
@@ -220,7 +220,7 @@
     double bound = allowed + 3 * Math.sqrt(allowed) + 3;
     peakWarmUpLoad = Math.max(peakWarmUpLoad, window.arrivalsNanos.size() / bound);
     if (window.arrivalsNanos.size() > bound) {
-      violation(
+      recordViolation(
           "rule 4: warming-up cache "
               + cache
               + " received "
@@ -243,7 +243,7 @@
     if (purgedAt != null && response.issuedAtMillis() < purgedAt && sentAtMillis > purgedAt) {
       latestAfterPurgeMillis = Math.max(latestAfterPurgeMillis, sentAtMillis - purgedAt);
       if (sentAtMillis > purgedAt + MAX_AFTER_PURGE_MILLIS) {
-        violation(
+        recordViolation(
             "rule 5: object "
                 + response.object()
                 + " was returned as a copy issued "
--- a/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
@@ -147,7 +147,8 @@
     journal.announcePurge(object, atMillis);
     auditor.objectPurged(object, atMillis);
     for (StandInCache cache : caches.values()) {
-      vertx.setTimer(1 + random.nextLong(MAX_PURGE_DELAY_MILLIS), timer -> cache.drop(object));
+      vertx.setTimer(
+          1 + random.nextLong(MAX_PURGE_DELAY_MILLIS), timer -> cache.dropObject(object));
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
@@ -64,7 +64,7 @@
    *
    * @param startedAtNanos the start of the scenario ({@link System#nanoTime})
    */
-  public void play(long startedAtNanos) throws Exception {
+  public void run(long startedAtNanos) throws Exception {
     for (Step step : steps) {
       long waitMillis =
           startedAtNanos / NANOS_PER_MILLI + step.atMillis - System.nanoTime() / NANOS_PER_MILLI;
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -94,7 +94,7 @@
         .filter(
             entry ->
                 entry.value() instanceof RegistryRecord.Purge purge
-                    && (purge.atMs() < writtenBeforeMillis
+                    && (purge.issuedAtMs() < writtenBeforeMillis
                         || nowNanos - present.get(entry.key()).firstObservedNanos > retentionNanos))
         .sorted(Comparator.comparingLong(RegistryEntry::modRevision))
         .limit(MAX_DELETED)
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -21,9 +21,9 @@
   /** The decision on one datagram. */
   public enum Verdict {
     /** The datagram is accepted. */
-    TAKEN,
+    ACCEPTED,
     /** The datagram is addressed to another process; its sender may be sent a greeting. */
-    GREETED,
+    WRONG_RECIPIENT,
     /** The sequence number was received before, or is older than the anti-replay window. */
     REPLAYED,
     /** The rate limit of the sender, or of greetings, is exceeded in this probe interval. */
@@ -100,7 +100,9 @@
   public Verdict check(
       long nowNanos, long senderInstanceId, long recipientInstanceId, long sequenceNumber) {
     if (recipientInstanceId != ownInstanceId) {
-      return ++greetings <= MAX_GREETINGS_PER_PERIOD ? Verdict.GREETED : Verdict.RATE_LIMITED;
+      return ++greetings <= MAX_GREETINGS_PER_PERIOD
+          ? Verdict.WRONG_RECIPIENT
+          : Verdict.RATE_LIMITED;
     }
     Sender sender = senders.computeIfAbsent(senderInstanceId, added -> new Sender());
     if (nowNanos - sender.periodStartNanos > periodNanos) {
@@ -110,7 +112,7 @@
     if (++sender.datagramsInPeriod > MAX_PER_SENDER_AND_PERIOD) {
       return Verdict.RATE_LIMITED;
     }
-    return markReceived(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPLAYED;
+    return markReceived(sender, sequenceNumber) ? Verdict.ACCEPTED : Verdict.REPLAYED;
   }
 
   /** Marks a sequence number as received, and returns whether it is new within the window. */
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -316,7 +316,7 @@
    * known and falls some time after a member left, but not when a member is lost; it is never below
    * the configured maximum of members.
    */
-  public int countedMembers() {
+  public int quotaDivisor() {
     return quota.divisor();
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -149,7 +149,7 @@
         .put("phase", lowerCase(protocol.phase()))
         .put("there", protocol.presentCount())
         .put("told", membership.timings().maxMembers())
-        .put("counted", protocol.countedMembers())
+        .put("counted", protocol.quotaDivisor())
         .put("part", protocol.quotaShare())
         .put("address", protocol.self().address())
         .put("incarnation", protocol.self().incarnation())
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -48,8 +48,8 @@
   void count(ReplayFilter.Verdict verdict) {
     count(
         switch (verdict) {
-          case TAKEN -> Result.TAKEN;
-          case GREETED -> Result.GREETED;
+          case ACCEPTED -> Result.TAKEN;
+          case WRONG_RECIPIENT -> Result.GREETED;
           case REPLAYED -> Result.REPEATED;
           case RATE_LIMITED -> Result.TOO_MANY;
         });
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
@@ -50,9 +50,9 @@
   private void receive(GossipMessage message, long nowNanos) {
     ReplayFilter.Verdict verdict = replayFilter.check(nowNanos, message);
     counters.count(verdict);
-    if (verdict == ReplayFilter.Verdict.GREETED) {
+    if (verdict == ReplayFilter.Verdict.WRONG_RECIPIENT) {
       protocol.greet(nowNanos, message.sender());
-    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+    } else if (verdict == ReplayFilter.Verdict.ACCEPTED) {
       protocol.messageReceived(nowNanos, message);
     }
   }
@@ -63,9 +63,9 @@
         replayFilter.check(
             nowNanos, sender.instanceId(), message.recipientInstanceId(), message.sequenceNumber());
     counters.count(verdict);
-    if (verdict == ReplayFilter.Verdict.GREETED) {
+    if (verdict == ReplayFilter.Verdict.WRONG_RECIPIENT) {
       protocol.greet(nowNanos, sender);
-    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+    } else if (verdict == ReplayFilter.Verdict.ACCEPTED) {
       handler.ifPresent(
           messageHandler ->
               messageHandler.messageReceived(nowNanos, sender.name(), message.body()));
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -185,10 +185,10 @@
 
   /** Reports the quota share to the log and the router if the share or its divisor has changed. */
   private void updateQuotaShare() {
-    if (protocol.countedMembers() == quotaDivisor && protocol.quotaShare() == quotaShare) {
+    if (protocol.quotaDivisor() == quotaDivisor && protocol.quotaShare() == quotaShare) {
       return;
     }
-    quotaDivisor = protocol.countedMembers();
+    quotaDivisor = protocol.quotaDivisor();
     quotaShare = protocol.quotaShare();
     log.quotaShareChanged(quotaDivisor, quotaShare > 0);
     callbacks.quotaShareChanged(quotaDivisor, quotaShare);
--- a/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
@@ -36,7 +36,7 @@
         List.of("other ALIVE", "third ALIVE", "other SUSPECTED", "other LOST"),
         harness.statusChanges);
     assertEquals(SwimProtocol.Phase.SETTLED, protocol.phase());
-    assertEquals(3, protocol.countedMembers(), "a loss does not lower the divisor");
+    assertEquals(3, protocol.quotaDivisor(), "a loss does not lower the divisor");
   }
 
   @Test
--- a/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
+++ b/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
@@ -24,26 +24,26 @@
   @Test
   void divisorFallsAfterALeaveOrAForgetButNotAfterALoss() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.LOST));
-    assertEquals(3, protocol.countedMembers());
+    assertEquals(3, protocol.quotaDivisor());
     assertEquals(0, protocol.quotaShare(), "above the configured maximum, and not admitted yet");
     assertTrue(protocol.forget(harness.nowNanos, "third"));
-    assertEquals(3, protocol.countedMembers(), "third still has time to refute the leave");
+    assertEquals(3, protocol.quotaDivisor(), "third still has time to refute the leave");
     harness.advance(30 * PERIOD_NANOS);
-    assertEquals(2, protocol.countedMembers());
+    assertEquals(2, protocol.quotaDivisor());
     assertFalse(protocol.forget(harness.nowNanos, "third"), "third is no longer lost");
     harness.receive(Kind.PING, "other", 1, update("other", 1, MemberStatus.LEFT));
-    assertEquals(2, protocol.countedMembers(), "never below the configured maximum");
+    assertEquals(2, protocol.quotaDivisor(), "never below the configured maximum");
   }
 
   @Test
   void falseLeaveDoesNotLowerTheDivisorBeforeItCanBeRefuted() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.ALIVE));
-    assertEquals(3, protocol.countedMembers());
+    assertEquals(3, protocol.quotaDivisor());
     harness.receive(Kind.PING, "liar", 2, update("third", 2, MemberStatus.LEFT));
     harness.advance(10 * PERIOD_NANOS);
-    assertEquals(4, protocol.countedMembers());
+    assertEquals(4, protocol.quotaDivisor());
     harness.receive(Kind.PING, "other", 3, update("third", 3, MemberStatus.ALIVE));
     harness.advance(30 * PERIOD_NANOS);
-    assertEquals(4, protocol.countedMembers(), "third refuted the false leave");
+    assertEquals(4, protocol.quotaDivisor(), "third refuted the false leave");
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -38,39 +38,41 @@
 
   @Test
   void datagramForAnotherProcessIsGreetedAndNotAccepted() {
-    assertEquals(Verdict.GREETED, check(0, 1, 6, 1));
-    assertEquals(Verdict.GREETED, check(0, 1, 0, 2));
-    assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, 3));
+    assertEquals(Verdict.WRONG_RECIPIENT, check(0, 1, 6, 1));
+    assertEquals(Verdict.WRONG_RECIPIENT, check(0, 1, 0, 2));
+    assertEquals(Verdict.ACCEPTED, check(0, 1, OWN_INSTANCE_ID, 3));
   }
 
   @Test
   void sequenceNumberIsAcceptedOnceInAnyOrder() {
     for (long number : new long[] {5, 3, 4, 70, 69}) {
-      assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, number), "" + number);
+      assertEquals(Verdict.ACCEPTED, check(0, 1, OWN_INSTANCE_ID, number), "" + number);
       assertEquals(Verdict.REPLAYED, check(0, 1, OWN_INSTANCE_ID, number), "" + number);
     }
     assertEquals(
         Verdict.REPLAYED,
         check(0, 1, OWN_INSTANCE_ID, 6),
         "older than the window, so it may be a replay");
-    assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, 7));
+    assertEquals(Verdict.ACCEPTED, check(0, 1, OWN_INSTANCE_ID, 7));
     assertEquals(
         Verdict.REPLAYED,
         check(0, 1, OWN_INSTANCE_ID, Long.MIN_VALUE + 3),
         "an overflow of the distance makes no old number new");
     assertEquals(
-        Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 5), "sequence numbers are tracked per sender");
+        Verdict.ACCEPTED,
+        check(0, 2, OWN_INSTANCE_ID, 5),
+        "sequence numbers are tracked per sender");
   }
 
   @Test
   void floodOfOneSenderIsDroppedAboveItsBoundWhileOthersAreAccepted() {
     int accepted = 0;
     for (int number = 1; number <= 1000; number++) {
-      accepted += check(0, 1, OWN_INSTANCE_ID, number) == Verdict.TAKEN ? 1 : 0;
+      accepted += check(0, 1, OWN_INSTANCE_ID, number) == Verdict.ACCEPTED ? 1 : 0;
     }
     assertEquals(60, accepted);
-    assertEquals(Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 1));
-    assertEquals(Verdict.TAKEN, check(PERIOD_NANOS + 1, 1, OWN_INSTANCE_ID, 2000));
+    assertEquals(Verdict.ACCEPTED, check(0, 2, OWN_INSTANCE_ID, 1));
+    assertEquals(Verdict.ACCEPTED, check(PERIOD_NANOS + 1, 1, OWN_INSTANCE_ID, 2000));
   }
 
   @Test
@@ -79,12 +81,12 @@
     int greetings = 0;
     for (int sender = 0; sender < 5000; sender++) {
       examined += filter.tryExamine(0) ? 1 : 0;
-      greetings += check(0, sender, 0, 1) == Verdict.GREETED ? 1 : 0;
+      greetings += check(0, sender, 0, 1) == Verdict.WRONG_RECIPIENT ? 1 : 0;
     }
     assertEquals(2000, examined);
     assertEquals(8, greetings);
     assertFalse(filter.tryExamine(PERIOD_NANOS));
     assertTrue(filter.tryExamine(PERIOD_NANOS + 1));
-    assertEquals(Verdict.GREETED, check(PERIOD_NANOS + 1, 1, 0, 1));
+    assertEquals(Verdict.WRONG_RECIPIENT, check(PERIOD_NANOS + 1, 1, 0, 1));
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -143,10 +143,10 @@
     fleet.actions.count("verdict " + verdict);
     fleet.actions.add("verdict", index, verdict);
     boolean bypassesFilter = fleet.withProbability(FILTER_BYPASS_PROBABILITY);
-    if (verdict == ReplayFilter.Verdict.TAKEN || bypassesFilter) {
+    if (verdict == ReplayFilter.Verdict.ACCEPTED || bypassesFilter) {
       fleet.actions.count("received " + message.kind());
       protocol.messageReceived(clockNanos(), message);
-    } else if (verdict == ReplayFilter.Verdict.GREETED) {
+    } else if (verdict == ReplayFilter.Verdict.WRONG_RECIPIENT) {
       protocol.greet(clockNanos(), message.sender());
     }
     recordState();
@@ -191,9 +191,9 @@
         self.incarnation(),
         self.status(),
         protocol.presentCount(),
-        protocol.countedMembers(),
+        protocol.quotaDivisor(),
         protocol.quotaShare());
-    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.scenario.maxMembers) {
+    if (protocol.quotaShare() > 0 && protocol.quotaDivisor() > fleet.scenario.maxMembers) {
       fleet.actions.count("admitted above the configured maximum");
     }
     if (++observationCount % 50 == 0) {
--- a/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
@@ -25,18 +25,18 @@
   /**
    * A purge of one object or, if {@code object} is 0, of a group.
    *
-   * @param atMs when the purge was issued, in Unix milliseconds of its writer's clock
+   * @param issuedAtMs when the purge was issued, in Unix milliseconds of its writer's clock
    */
-  record Purge(long object, int group, long atMs) implements RegistryRecord {}
+  record Purge(long object, int group, long issuedAtMs) implements RegistryRecord {}
 
   /**
    * The leader of one task. Its key is a fence: each transaction of the leader writes it, so a
    * transaction of a superseded leader fails.
    *
    * @param term the leader's term, which only grows
-   * @param by the leader's name
+   * @param leader the leader's name
    */
-  record Task(long term, String by) implements RegistryRecord {}
+  record Task(long term, String leader) implements RegistryRecord {}
 
   /**
    * A key that is about neither endpoints, purges nor tasks: the tip, and keys that a later version
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -156,10 +156,10 @@
           json.writeStringField("object", String.format("%016x", purge.object()));
         }
         json.writeNumberField("group", purge.group());
-        json.writeNumberField("at_ms", purge.atMs());
+        json.writeNumberField("at_ms", purge.issuedAtMs());
       } else if (value instanceof RegistryRecord.Task task) {
         json.writeNumberField("term", task.term());
-        json.writeStringField("by", task.by());
+        json.writeStringField("by", task.leader());
       }
       json.writeEndObject();
     } catch (IOException e) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -136,7 +136,7 @@
         .compose(
             entries -> {
               List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(added));
-              expiredPurges(entries, purge.atMs(), settings.purgeRetentionNanos()).stream()
+              expiredPurges(entries, purge.issuedAtMs(), settings.purgeRetentionNanos()).stream()
                   .limit(MAX_WRITES - 1)
                   .forEach(expired -> writes.add(deletion(expired)));
               return commit(writes, Lifetime.PERMANENT);
@@ -158,7 +158,8 @@
     return entries.stream()
         .filter(
             entry ->
-                entry.value() instanceof RegistryRecord.Purge purge && purge.atMs() < cutoffMillis)
+                entry.value() instanceof RegistryRecord.Purge purge
+                    && purge.issuedAtMs() < cutoffMillis)
         .toList();
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
@@ -36,7 +36,7 @@
 
   /** Whether a token must be fetched before a request can be sent. */
   boolean isTokenMissing() {
-    return token.isEmpty() && (settings.token() != null || settings.user() != null);
+    return token.isEmpty() && (settings.tokenFile() != null || settings.user() != null);
   }
 
   /** Discards the token, since its file may have changed. */
@@ -51,11 +51,11 @@
   Future<Boolean> renewToken(Login login) {
     String previous = token;
     Future<String> fetch;
-    if (settings.token() != null) {
-      fetch = readSecret(settings.token());
+    if (settings.tokenFile() != null) {
+      fetch = readSecret(settings.tokenFile());
     } else if (settings.user() != null) {
       fetch =
-          readSecret(settings.password())
+          readSecret(settings.passwordFile())
               .compose(
                   password -> login.send(EtcdProtocol.loginRequest(settings.user(), password)));
     } else {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -10,14 +10,14 @@
  * @param protocol the registry's protocol
  * @param endpoints addresses of the registry's endpoints
  * @param prefix prefix of all keys; ends in a slash
- * @param trust PEM file of the certificate authority of the servers; null for unencrypted
+ * @param trustFile PEM file of the certificate authority of the servers; null for unencrypted
  *     connections
- * @param certificate PEM file of the client certificate; null for none
- * @param key PEM file of the client certificate's key; null for none
- * @param token file that holds the access token; null for none
+ * @param certificateFile PEM file of the client certificate; null for none
+ * @param keyFile PEM file of the client certificate's key; null for none
+ * @param tokenFile file that holds the access token; null for none
  * @param user user to log in as; null for none. Only for {@link ProtocolKind#ETCD}
- * @param password file that holds the user's password; null for none
- * @param snapshot file that holds the view across a restart; null for none
+ * @param passwordFile file that holds the user's password; null for none
+ * @param snapshotFile file that holds the view across a restart; null for none
  * @param snapshotIntervalNanos minimum time between two writes of the snapshot
  * @param maxSnapshotAgeNanos a snapshot older than this is ignored at the start
  * @param purgeRetentionNanos the shortest time for which the registry keeps the key of a purge
@@ -28,13 +28,13 @@
     ProtocolKind protocol,
     List<SocketAddress> endpoints,
     String prefix,
-    Path trust,
-    Path certificate,
-    Path key,
-    Path token,
+    Path trustFile,
+    Path certificateFile,
+    Path keyFile,
+    Path tokenFile,
     String user,
-    Path password,
-    Path snapshot,
+    Path passwordFile,
+    Path snapshotFile,
     long snapshotIntervalNanos,
     long maxSnapshotAgeNanos,
     long purgeRetentionNanos,
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -69,7 +69,7 @@
     commandExecutor = new WatchCommandExecutor(client, clock::nowNanos, log, this::scheduleTick);
     wallTimes = new WallTimes(listener, clock::nowNanos, System::currentTimeMillis);
     snapshotWriter =
-        Optional.ofNullable(settings.snapshot())
+        Optional.ofNullable(settings.snapshotFile())
             .map(
                 file ->
                     new SnapshotWriter(
@@ -115,7 +115,7 @@
               log.endPeriod();
               snapshotWriter.ifPresent(writer -> writer.tick(this::currentSnapshot));
             });
-    if (settings.snapshot() == null) {
+    if (settings.snapshotFile() == null) {
       startSession();
     } else {
       new SnapshotRestore(vertx, settings, clock::nowNanos, log)
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryTls.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryTls.java
@@ -15,14 +15,14 @@
   }
 
   boolean isEnabled() {
-    return settings.trust() != null;
+    return settings.trustFile() != null;
   }
 
   /** Adds the TLS options, if TLS is enabled, to those of an HTTP client. */
   void addTo(HttpClientOptions options) {
     if (isEnabled()) {
       options.setSsl(true).setTrustOptions(trust());
-      if (settings.certificate() != null) {
+      if (settings.certificateFile() != null) {
         options.setKeyCertOptions(certificate());
       }
     }
@@ -33,7 +33,7 @@
     return vertx.executeBlocking(
         () -> {
           trust().getTrustManagerFactory(vertx);
-          if (settings.certificate() != null) {
+          if (settings.certificateFile() != null) {
             certificate().getKeyManagerFactory(vertx);
           }
           return null;
@@ -41,12 +41,12 @@
   }
 
   private PemTrustOptions trust() {
-    return new PemTrustOptions().addCertPath(settings.trust().toString());
+    return new PemTrustOptions().addCertPath(settings.trustFile().toString());
   }
 
   private PemKeyCertOptions certificate() {
     return new PemKeyCertOptions()
-        .setCertPath(settings.certificate().toString())
-        .setKeyPath(settings.key().toString());
+        .setCertPath(settings.certificateFile().toString())
+        .setKeyPath(settings.keyFile().toString());
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -48,13 +48,13 @@
         .otherwise(
             cause -> {
               log.warning(
-                  "the snapshot " + settings.snapshot() + " is ignored: " + cause.getMessage());
+                  "the snapshot " + settings.snapshotFile() + " is ignored: " + cause.getMessage());
               return null;
             });
   }
 
   private Optional<Snapshot> read() throws SnapshotException {
-    Path file = settings.snapshot();
+    Path file = settings.snapshotFile();
     SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
     return Files.exists(file)
         ? Optional.of(SnapshotFile.read(file, settings.maxResponseBytes()))
@@ -66,7 +66,8 @@
     Optional<String> rejectionReason =
         snapshot.rejectionReason(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
     if (rejectionReason.isPresent()) {
-      log.warning("the snapshot " + settings.snapshot() + " is ignored: " + rejectionReason.get());
+      log.warning(
+          "the snapshot " + settings.snapshotFile() + " is ignored: " + rejectionReason.get());
       return;
     }
     long ageNanos = snapshot.ageNanos(nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -37,7 +37,7 @@
    * Subscribes to the endpoint list if the configuration requires it and no subscription exists.
    */
   void subscribeIfNeeded(Batch batch) {
-    if (!isSubscribed && config.endpointListOnRequest()) {
+    if (!isSubscribed && config.requiresEndpointSubscription()) {
       isSubscribed = true;
       batch.actions().subscribeEndpoints();
     }
--- a/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
+++ b/routing/src/main/java/org/amberpath/routing/ConnectFailureEvidence.java
@@ -6,11 +6,11 @@
  * and caches share, a connect takes milliseconds, so only one that has been pending for a quarter
  * of the connect timeout shows that the endpoint does not respond.
  */
-public final class ConnectPatience {
+public final class ConnectFailureEvidence {
   /** A pending connect is evidence after the connect timeout divided by this. */
   private static final int TIMEOUT_DIVISOR = 4;
 
-  private ConnectPatience() {}
+  private ConnectFailureEvidence() {}
 
   /**
    * Whether a connect that has been pending for the given time is evidence against the endpoint.
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -114,7 +114,7 @@
    * Returns whether the offset was corrected since the last call, and clears the flag. After a
    * correction endpoints may have started later than {@link #startAgeNanos} returned.
    */
-  public boolean takeCorrection() {
+  public boolean pollCorrection() {
     boolean wasCorrected = isCorrected;
     isCorrected = false;
     return wasCorrected;
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -28,7 +28,7 @@
   boolean weightIsSize();
 
   /** Whether the router must subscribe to the endpoint list. */
-  boolean endpointListOnRequest();
+  boolean requiresEndpointSubscription();
 
   /** Number of traffic classes. */
   int trafficClassCount();
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -29,12 +29,12 @@
    * Bytes that were queued unread at a connection while the event loop was late.
    *
    * @param sinceNanos earliest time at which they may have arrived
-   * @param foundAtNanos time at which the first of them were read
+   * @param firstReadAtNanos time at which the first of them were read
    */
-  public record Backlog(long sinceNanos, long foundAtNanos) {
+  public record Backlog(long sinceNanos, long firstReadAtNanos) {
     /** Whether bytes that are read now may belong to the backlog. */
     public boolean mayContinue(long nowNanos) {
-      return nowNanos - foundAtNanos <= MAX_REREAD_NANOS;
+      return nowNanos - firstReadAtNanos <= MAX_REREAD_NANOS;
     }
   }
 
@@ -62,7 +62,7 @@
    * Whether a request that was read after the given lag must wait until its connection is settled,
    * that is, has been read again.
    */
-  public static boolean mustSettle(long lagNanos) {
+  public static boolean mustBeReread(long lagNanos) {
     return lagNanos >= MIN_REREAD_LAG_NANOS;
   }
 
@@ -73,7 +73,7 @@
    * @param receivedAtNanos when the request in question was read
    * @param lastReceivedAtNanos when the last request of the connection was read
    */
-  public boolean isSettled(long receivedAtNanos, long lastReceivedAtNanos) {
+  public boolean wasReread(long receivedAtNanos, long lastReceivedAtNanos) {
     return readAtNanos >= lastReceivedAtNanos || readAtNanos - receivedAtNanos > MAX_REREAD_NANOS;
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/FakeHost.java
+++ b/routing/src/test/java/org/amberpath/routing/FakeHost.java
@@ -384,7 +384,7 @@
   }
 
   @Override
-  public boolean endpointListOnRequest() {
+  public boolean requiresEndpointSubscription() {
     return false;
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -40,14 +40,14 @@
   @Test
   void connectionIsSettledOnceReadAfterItsLastRequestOrAfterTheMaximumTime() {
     SocketReads reads = new SocketReads(0);
-    assertFalse(SocketReads.mustSettle(24 * MS));
-    assertTrue(SocketReads.mustSettle(25 * MS));
+    assertFalse(SocketReads.mustBeReread(24 * MS));
+    assertTrue(SocketReads.mustBeReread(25 * MS));
     reads.socketsRead(10 * MS);
-    assertTrue(reads.isSettled(9 * MS, 10 * MS));
-    assertFalse(reads.isSettled(9 * MS, 11 * MS));
+    assertTrue(reads.wasReread(9 * MS, 10 * MS));
+    assertFalse(reads.wasReread(9 * MS, 11 * MS));
     reads.socketsRead(60 * MS);
     assertTrue(
-        reads.isSettled(9 * MS, 61 * MS),
+        reads.wasReread(9 * MS, 61 * MS),
         "settled after the maximum time although the client keeps sending");
     assertTrue(new SocketReads.Backlog(0, 900 * MS).mayContinue(950 * MS));
     assertFalse(new SocketReads.Backlog(0, 900 * MS).mayContinue(951 * MS));
--- a/routing/src/test/java/org/amberpath/routing/SeededConfig.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededConfig.java
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public boolean endpointListOnRequest() {
+  public boolean requiresEndpointSubscription() {
     return setting == Setting.PLAIN;
   }
 
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -135,11 +135,11 @@
         "known from before the start, and not corrected yet");
     advance(1000);
     purgeAgeMillis(0, true);
-    assertEquals(false, eventAge.takeCorrection(), "events of the first reply may be of any age");
+    assertEquals(false, eventAge.pollCorrection(), "events of the first reply may be of any age");
     advance(1000);
     assertTrue(purgeAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
-    assertEquals(true, eventAge.takeCorrection());
-    assertEquals(false, eventAge.takeCorrection(), "reported once");
+    assertEquals(true, eventAge.pollCorrection());
+    assertEquals(false, eventAge.pollCorrection(), "reported once");
     assertTrue(startAgeMillis(4000, false) <= 4000 + TOLERANCE_MILLIS);
   }
 
