--- a/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
@@ -104,7 +104,7 @@
 
   @Test
   void unresponsiveConnectionGetsNoFurtherCommand() throws Exception {
-    client.sendRequest(1, "parts", 600, 0).sendRequest(2, "parts", 5000, 1);
+    client.sendRequestsTogether("parts", 600, 5000);
     ReceivedCommand unansweredCommand = cache.nextCommand();
     ReceivedCommand slowCommand = cache.nextCommand();
     assertEquals("Internal", client.receive().error());
--- a/gateway/src/test/java/org/amberpath/gateway/RequestForwardingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestForwardingTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -66,16 +65,7 @@
 
   @Test
   void responsesAreReturnedInAnyOrderOnOneConnection() throws Exception {
-    // Both requests arrive in one read: a later one could be sent on the idle second connection
-    // that
-    // the pool opens once the first connection is in use.
-    ByteArrayOutputStream requests = new ByteArrayOutputStream();
-    for (int part = 0; part < 2; part++) {
-      requests.writeBytes(
-          TestClient.encodeRequest(
-              part + 1, "parts", TestClient.requestFields(part + 1, 1500, part), new byte[0]));
-    }
-    client.send(requests.toByteArray());
+    client.sendRequestsTogether("parts", 1500, 1500);
     ReceivedCommand first = cache.nextCommand();
     ReceivedCommand second = cache.nextCommand();
     assertSame(first.socket(), second.socket());
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway.testsupport;
 
+import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.Socket;
@@ -73,6 +74,19 @@
     return this;
   }
 
+  /**
+   * Sends requests for two parts, numbered 1 and 2, in one write. The gateway receives them in one
+   * read, so that both wait for the first connection of the pool and share it; a request that is
+   * received later may be sent on the idle second connection that the pool opens.
+   */
+  public TestClient sendRequestsTogether(String method, long firstAllowMs, long secondAllowMs)
+      throws IOException {
+    ByteArrayOutputStream requests = new ByteArrayOutputStream();
+    requests.writeBytes(encodeRequest(1, method, requestFields(1, firstAllowMs, 0), new byte[0]));
+    requests.writeBytes(encodeRequest(2, method, requestFields(2, secondAllowMs, 1), new byte[0]));
+    return send(requests.toByteArray());
+  }
+
   /** Sends a request with an empty body. */
   public TestClient sendRequest(int messageId, String method, long allowMs, int part)
       throws IOException {
